--- a/testing/fleet/src/synthetic/wire.rs
+++ b/testing/fleet/src/synthetic/wire.rs
@@ -7,11 +7,16 @@
 use bytes::Bytes;
 use common::frames::{DaemonToLeader, LeaderToDaemon, decode, encode};
 
+/// The payload and the headers of a full TCP segment in a packet of 1500 bytes: 20 bytes of IP header, and 32 of TCP
+/// header with timestamps.
 const SEGMENT_PAYLOAD_BYTES: u64 = 1448;
 const SEGMENT_HEADER_BYTES: u64 = 52;
+/// The size of the length that precedes each frame.
 const LENGTH_PREFIX_BYTES: u64 = 4;
+/// The payload and the IP header of a full fragment in a packet of 1500 bytes.
 const FRAGMENT_PAYLOAD_BYTES: u64 = 1480;
 const FRAGMENT_HEADER_BYTES: u64 = 20;
+/// The size of the UDP header.
 const DATAGRAM_HEADER_BYTES: u64 = 8;
 
 /// Encodes a frame and counts it as sent. Returns `None` if it cannot be encoded.
