--- a/testing/fleet/src/synthetic/page/capacity_model/controllers.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/controllers.rs
@@ -1,6 +1,9 @@
 //! The figures of controllers, as leader and as followers.
 
-use super::{CHANGES_PER_SECOND, CapacityModel, DAEMONS, MEGABYTE, baseline_runs, stream_rate};
+use super::{
+    CHANGES_PER_SECOND, CapacityModel, DAEMONS, MEGABYTE, RENEWAL_INTERVAL_SECONDS, baseline_runs,
+    stream_rate,
+};
 use crate::synthetic::page::Run;
 use crate::synthetic::page::figure::{Figure, Unit};
 use crate::synthetic::page::fit::{Fit, Predictor};
@@ -9,7 +12,7 @@
 const CONTROLLER_BUDGET: f64 = 1.0;
 const CORES_PER_MICROSECOND: f64 = 1e-6;
 const IN_FORCE_BUDGET_MS: f64 = 5_000.0;
-const RENEWALS_PER_SECOND: f64 = DAEMONS / 0.3;
+const RENEWALS_PER_SECOND: f64 = DAEMONS / RENEWAL_INTERVAL_SECONDS;
 const LEADING_STREAM_WORKS: [&str; 2] = ["leading renewals", "leading idle"];
 
 /// Returns the figures of a follower.
--- a/testing/fleet/src/synthetic/page/capacity_model/mod.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/mod.rs
@@ -18,9 +18,12 @@
 const PROCESSOR_TIME_BUDGET: f64 = 50_000.0;
 const MEMORY_BUDGET: f64 = 256.0;
 
+/// The daemons, calls and changes at the target size, as in [`Predictor::target`].
 const DAEMONS: f64 = 740.0;
 const CALLS_PER_DAEMON_PER_SECOND: f64 = 97_000.0 / 740.0;
 const CHANGES_PER_SECOND: f64 = 1_800.0 / 86_400.0;
+/// The assumed time between two renewals of a daemon's session lease, in seconds.
+const RENEWAL_INTERVAL_SECONDS: f64 = 0.3;
 const MEGABYTE: f64 = 1e6;
 
 /// The fitted models from which figures of the page are computed.
@@ -131,10 +134,11 @@
         }
     }
 
-    /// Returns the leader's processor time in microseconds per second for given values of the predictors.
+    /// Returns the leader's processor time in microseconds per second for given values of the predictors. Each daemon
+    /// reports idle functions once a second.
     pub(crate) fn leader_processor_time(&self, value_of: &dyn Fn(Predictor) -> f64) -> f64 {
         let daemons = value_of(Predictor::Daemons);
-        self.renewal_processor_time.model.at(value_of) * daemons / 0.3
+        self.renewal_processor_time.model.at(value_of) * daemons / RENEWAL_INTERVAL_SECONDS
             + self.idle_report_processor_time.model.at(value_of) * daemons
             + self.leading_ticks.model.at(value_of)
             + self.leading_consensus.model.at(value_of)
--- a/testing/fleet/src/synthetic/page/capacity_model/platform.rs
+++ b/testing/fleet/src/synthetic/page/capacity_model/platform.rs
@@ -5,13 +5,17 @@
 use crate::synthetic::page::figure::{Figure, Unit};
 use crate::synthetic::page::fit::{Fit, Predictor};
 
+/// The number of runners at the target size, as in [`Predictor::target`].
 const INSTANCES: f64 = 40_000.0;
+/// The budget for calls to the platform, per second.
 const PLATFORM_CALLS_BUDGET: f64 = 26.0;
+/// The largest number of rows in a page of a list.
 const ROWS_PER_PAGE: f64 = 200.0;
 /// The numbers of machines in a rack, in a zone and in a region.
 const MACHINES_PER_RACK: f64 = 20.0;
 const MACHINES_PER_ZONE: f64 = 74.0;
 const MACHINES_PER_REGION: f64 = 247.0;
+/// The leader polls the lists every 0.4 s.
 const POLLS_PER_SECOND: f64 = 2.5;
 
 /// Returns the figures of the clients of the platform.
--- a/testing/fleet/src/synthetic/page/plots.rs
+++ b/testing/fleet/src/synthetic/page/plots.rs
@@ -86,6 +86,10 @@
     line: Vec<(f64, f64)>,
 }
 
+/// The rate of changes for which the models are drawn: that of a measurement with the default options, four changes in
+/// ten seconds.
+const CHANGES_PER_SECOND: f64 = 0.4;
+
 /// Returns the values of the predictors at a fleet size, with a fixed rate of changes.
 fn predictors_at(daemons: f64, functions: f64, held: f64) -> impl Fn(Predictor) -> f64 {
     move |predictor| match predictor {
@@ -95,8 +99,8 @@
         Predictor::Held | Predictor::Instances => held,
         Predictor::HeldPerDaemon => held / daemons,
         Predictor::DaemonsSquared => daemons * daemons,
-        Predictor::Changes => 0.4,
-        Predictor::ChangedFunctions => 0.4 * functions,
+        Predictor::Changes => CHANGES_PER_SECOND,
+        Predictor::ChangedFunctions => CHANGES_PER_SECOND * functions,
     }
 }
 
