--- a/testing/fleet/src/soak/fault.rs
+++ b/testing/fleet/src/soak/fault.rs
@@ -101,7 +101,7 @@
     /// Operators send malformed changes.
     UnreadableSpecs = "unreadable-specs",
     /// Callers close their connections in the middle of a request or before the response.
-    HangUps = "hang-ups",
+    CallerDisconnects = "hang-ups",
     /// Random bytes are sent to the daemons' ingresses and to the addresses that processes use among themselves.
     Garbage = "garbage",
 }
@@ -141,7 +141,7 @@
     SignalSeries,
     StopDaemons,
     ChangeSpec,
-    HangUps,
+    DisconnectCallers,
     Garbage,
 }
 
@@ -187,7 +187,7 @@
             | Self::LoseAcknowledgements
             | Self::InvalidSpecs
             | Self::UnreadableSpecs => FaultAction::ChangeSpec,
-            Self::HangUps => FaultAction::HangUps,
+            Self::CallerDisconnects => FaultAction::DisconnectCallers,
             Self::Garbage => FaultAction::Garbage,
         }
     }
@@ -273,7 +273,7 @@
                 self.fleet.network_proxy.set_delay(ADDED_DELAY);
                 Ok(FaultUndo::ClearDelay)
             }
-            FaultAction::Disk(how) => self.inject_disk_fault(how),
+            FaultAction::Disk(disk_state) => self.inject_disk_fault(disk_state),
             FaultAction::Worker(action) => self.disrupt_worker(action).await,
             FaultAction::RunnerFaults(shares) => self.set_runner_faults(shares).await,
             FaultAction::Reload => {
@@ -289,7 +289,7 @@
                 self.change_spec(fault).await;
                 Ok(FaultUndo::Nothing)
             }
-            FaultAction::HangUps => {
+            FaultAction::DisconnectCallers => {
                 clients::disconnect_mid_request(self.fleet, self.deployment, &mut self.rng).await;
                 Ok(FaultUndo::Nothing)
             }
@@ -477,15 +477,15 @@
     }
 
     /// Injects a fault into the disk of a random controller.
-    fn inject_disk_fault(&mut self, how: &str) -> Result<FaultUndo, FleetError> {
+    fn inject_disk_fault(&mut self, disk_state: &str) -> Result<FaultUndo, FleetError> {
         let Some(name) = self.choose_controller() else {
             return Ok(FaultUndo::Nothing);
         };
         self.rng.number();
         let control_file = self.fleet.layout.disk_file(&name);
         self.fleet
-            .record_event("disk", json!({"machine": name, "how": how}));
-        std::fs::write(&control_file, how)
+            .record_event("disk", json!({"machine": name, "how": disk_state}));
+        std::fs::write(&control_file, disk_state)
             .map_err(|error| FleetError::Io(control_file.clone(), error))?;
         Ok(FaultUndo::RestoreDisk(control_file))
     }
