--- a/testing/fleet/src/days/fault/catalogue.rs
+++ b/testing/fleet/src/days/fault/catalogue.rs
@@ -113,6 +113,9 @@
     RareCallBurst = "rare-crowd",
 }
 
+/// Separates the random choice of a day's faults from other choices with the same seed.
+const FAULTS_SEED_MASK: u64 = 0xc0b1;
+
 /// The names under which earlier versions recorded some faults.
 const RENAMED_FAULTS: [(&str, FaultName); 5] = [
     ("kill-herd", FaultName::KillGroup),
@@ -159,7 +162,7 @@
 
     /// Returns seven faults chosen by a seed; the last one is heavy.
     pub fn random_faults(seed: u64) -> Vec<FaultName> {
-        let mut rng = SeededRng::seeded(seed ^ 0xc0b1);
+        let mut rng = SeededRng::seeded(seed ^ FAULTS_SEED_MASK);
         let choose_one = |faults: &[FaultName], rng: &mut SeededRng| {
             faults[rng.below(faults.len() as u64) as usize]
         };
--- a/testing/fleet/src/days/run.rs
+++ b/testing/fleet/src/days/run.rs
@@ -51,6 +51,9 @@
 /// The time for which load is generated beyond the expected time of all faults, in milliseconds.
 const EXTRA_LOAD_MS: u64 = 12_000;
 
+/// Separates the random choices of targets from other choices with the same seed.
+const TARGET_SEED_MASK: u64 = 0x5eed;
+
 /// Runs a day and judges its records.
 ///
 /// # Errors
@@ -117,7 +120,7 @@
 
 /// Injects the faults one after the other. Failed ones are recorded in the journal.
 async fn inject_all(day: &Day, fleet: &mut Fleet) {
-    let mut rng = SeededRng::seeded(day.seed ^ 0x5eed);
+    let mut rng = SeededRng::seeded(day.seed ^ TARGET_SEED_MASK);
     for name in &day.faults {
         let mut injector = FaultInjector {
             name: *name,
--- a/testing/fleet/src/soak/mod.rs
+++ b/testing/fleet/src/soak/mod.rs
@@ -70,6 +70,9 @@
 /// The interval at which a graceful stop in progress is polled.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
+/// Separates the random choices of targets from other choices with the same seed.
+const TARGET_SEED_MASK: u64 = 0x7a0b;
+
 /// The settings of one soak.
 #[derive(Clone, Debug)]
 pub struct Soak {
@@ -265,7 +268,7 @@
     planned_faults: &[PlannedFault],
 ) -> Result<Vec<String>, FleetError> {
     let started_at = Instant::now() + WARM_UP;
-    let rng = SeededRng::seeded(soak.seed ^ 0x7a0b);
+    let rng = SeededRng::seeded(soak.seed ^ TARGET_SEED_MASK);
     let mut injector = SoakInjector::new(fleet, deployment, rng);
     let mut upcoming = planned_faults.iter().peekable();
     let mut active_faults: Vec<ActiveFault> = Vec::new();
--- a/testing/fleet/src/soak/schedule.rs
+++ b/testing/fleet/src/soak/schedule.rs
@@ -11,6 +11,9 @@
 /// The longest gap between two successive faults of a sequence.
 const LONGEST_GAP: Duration = Duration::from_millis(400);
 
+/// Separates the random choices of the schedule from other choices with the same seed.
+const SCHEDULE_SEED_MASK: u64 = 0x50a1;
+
 /// A scheduled fault of a soak.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct PlannedFault {
@@ -36,7 +39,7 @@
 /// Generates the faults of a soak in `lanes` concurrent sequences, sorted by start time. The first sequence consists of
 /// planned work only: stops, restarts, signals and changes in quick succession.
 pub fn draw_schedule(seed: u64, lanes: usize, duration: Duration) -> Vec<PlannedFault> {
-    let mut rng = SeededRng::seeded(seed ^ 0x50a1);
+    let mut rng = SeededRng::seeded(seed ^ SCHEDULE_SEED_MASK);
     let mut planned_faults = Vec::new();
     for lane in 0..lanes {
         let (faults, longest) = if lane == 0 {
