--- a/testing/fleet/src/days/fault/catalogue.rs
+++ b/testing/fleet/src/days/fault/catalogue.rs
@@ -55,7 +55,7 @@
     KillAfterAck = "kill-after-ack",
     /// A follower is killed, loses its disk and is restarted.
     LoseDisk = "lose-disk",
-    /// A follower is lost for good and replaced by an empty controller with a new address.
+    /// A follower is permanently lost and replaced by an empty controller with a new address.
     ReplaceVoter = "replace-core",
     /// The daemon with the most function leases is frozen for six seconds.
     FreezeHolder = "freeze-holder",
--- a/testing/fleet/src/days/fault/mod.rs
+++ b/testing/fleet/src/days/fault/mod.rs
@@ -27,8 +27,8 @@
     pub rng: &'a mut SeededRng,
 }
 
-async fn pause(pause_ms: u64) {
-    tokio::time::sleep(Duration::from_millis(pause_ms)).await;
+async fn pause(duration_ms: u64) {
+    tokio::time::sleep(Duration::from_millis(duration_ms)).await;
 }
 
 /// Returns the names of the machines in a zone.
--- a/testing/fleet/src/days/fault/processes.rs
+++ b/testing/fleet/src/days/fault/processes.rs
@@ -13,6 +13,10 @@
 /// milliseconds.
 const RESTART_DELAY_MS: u64 = 1000;
 
+/// The time for the other controllers to replace a lost voter, which they do when it has been silent for 8 s, in
+/// milliseconds.
+const VOTER_REPLACEMENT_MS: u64 = 14_000;
+
 /// Returns every third daemon.
 fn every_third_daemon(fleet: &Fleet) -> Vec<String> {
     fleet.running("daemon").iter().step_by(3).cloned().collect()
@@ -30,9 +34,9 @@
     fleet.launch(name).await
 }
 
-async fn freeze_for(fleet: &mut Fleet, names: &[String], pause_ms: u64) {
+async fn freeze_for(fleet: &mut Fleet, names: &[String], duration_ms: u64) {
     names.iter().for_each(|name| fleet.freeze(name));
-    pause(pause_ms).await;
+    pause(duration_ms).await;
     names.iter().for_each(|name| fleet.resume(name));
 }
 
@@ -69,7 +73,7 @@
         fleet.launch(&name).await
     }
 
-    /// Kills a follower for good, and starts an empty controller at a new address to replace it.
+    /// Kills a follower permanently, starts an empty controller at a new address, and waits until it is a voter.
     pub(super) async fn replace_voter(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let Some(name) = self.choose_follower(fleet).await else {
             return Ok(());
@@ -80,7 +84,7 @@
         let spare_name = format!("spare-{}", self.rng.below(1 << 20));
         fleet.layout.add_controller(&spare_name, &zone)?;
         fleet.launch(&spare_name).await?;
-        pause(14_000).await;
+        pause(VOTER_REPLACEMENT_MS).await;
         Ok(())
     }
 
--- a/testing/fleet/src/days/fault/spec_changes.rs
+++ b/testing/fleet/src/days/fault/spec_changes.rs
@@ -6,6 +6,8 @@
 
 /// The number of changes that are sent in a row.
 const STORM_CHANGES: usize = 10;
+/// The time after which an accepted change must be in force, 3 s, with a margin, in milliseconds.
+const IN_FORCE_MS: u64 = 3300;
 
 impl FaultInjector<'_> {
     pub(super) async fn switch_canary(
@@ -112,7 +114,7 @@
             fleet
                 .put_spec(version, &change_id, &spec, "accepted")
                 .await?;
-            pause(3300).await;
+            pause(IN_FORCE_MS).await;
             self.call_each_ingress(fleet, "/probe").await;
         }
         Ok(())
