--- a/testing/fleet/src/fleet/layout.rs
+++ b/testing/fleet/src/fleet/layout.rs
@@ -76,7 +76,8 @@
 }
 
 impl Layout {
-    /// Lays out a fleet, creates its folder and writes the machines' settings there.
+    /// Lays out a fleet, creates its folder and writes the machines' settings there. With `reuse_ports`, the platform
+    /// gives new runners the ports of stopped ones.
     ///
     /// # Errors
     /// Fails if no loopback addresses are free or a file cannot be written.
--- a/testing/fleet/src/fleet/mod.rs
+++ b/testing/fleet/src/fleet/mod.rs
@@ -376,7 +376,7 @@
         ))
     }
 
-    /// Waits until a leader is elected and returns the spec.
+    /// Waits until a leader is elected and responds to a read of the spec.
     pub async fn await_leader(&self) -> Result<(), FleetError> {
         for _ in 0..200 {
             if let Ok((200, _)) = self.call_operators(Method::GET, "/v1/spec", None).await {
--- a/testing/fleet/src/fleet/network_proxy.rs
+++ b/testing/fleet/src/fleet/network_proxy.rs
@@ -13,8 +13,8 @@
 use tokio::task::JoinHandle;
 
 /// The number of retries to bind an address that is in use.
-const BIND_ATTEMPTS: usize = 20;
-/// The delay after each attempt.
+const BIND_RETRIES: usize = 20;
+/// The delay before each retry.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(25);
 
 /// The current faults of the network. Machines are identified by their loopback addresses.
@@ -147,7 +147,7 @@
 /// Binds the sockets of a proxy, with retries. A process that was just forked holds copies of all sockets until it
 /// executes its program, so an address can still be in use shortly after its sockets were closed.
 async fn bind_sockets(address: SocketAddress) -> std::io::Result<(TcpListener, UdpSocket)> {
-    for _ in 0..BIND_ATTEMPTS {
+    for _ in 0..BIND_RETRIES {
         match try_bind_sockets(address).await {
             Err(error) if error.kind() == ErrorKind::AddrInUse => {
                 tokio::time::sleep(BIND_RETRY_DELAY).await;
