--- a/testing/fleet/src/commands/control_plane.rs
+++ b/testing/fleet/src/commands/control_plane.rs
@@ -47,7 +47,7 @@
         eprintln!("fleet: unknown flaw {:?}", options.flaw);
         return ExitCode::from(2);
     };
-    let mut violation_count = 0;
+    let mut total_violating_cases = 0;
     let sizes = QuorumSize::ALL.iter().filter(|size| {
         options
             .machines
@@ -72,9 +72,9 @@
             "{} machines: {case_count} cases, {violating_case_count} with violations",
             size.machines
         );
-        violation_count += violating_case_count;
+        total_violating_cases += violating_case_count;
     }
-    if violation_count == 0 {
+    if total_violating_cases == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(1)
