--- a/testing/fleet/src/daemon_without_rule.rs
+++ b/testing/fleet/src/daemon_without_rule.rs
@@ -42,9 +42,9 @@
         let opened = Daemon::open_with_rules(settings, Rules::without(rule)).await;
         let daemon = opened
             .map_err(|error| eyre!("{error}"))
-            .wrap_err("opening")?;
+            .wrap_err("cannot open the daemon")?;
         let stop = command_line::stop_signal()?;
-        let _reread = command_line::reload_signal()?;
+        let _reload = command_line::reload_signal()?;
         daemon.run(stop).await;
         Ok(())
     })
--- a/testing/fleet/src/faulty_disk_controller.rs
+++ b/testing/fleet/src/faulty_disk_controller.rs
@@ -75,9 +75,9 @@
         let adapters = ControllerAdapters::native(settings.platform);
         let controller = Controller::open_with(&settings, Box::new(fault_hook), adapters)
             .await
-            .wrap_err("opening")?;
+            .wrap_err("cannot open the controller")?;
         let stop = command_line::stop_signal()?;
-        let _reread = command_line::reload_signal()?;
+        let _reload = command_line::reload_signal()?;
         controller.run(stop).await;
         Ok(())
     })
