--- a/testing/fleet/src/days/fault/processes.rs
+++ b/testing/fleet/src/days/fault/processes.rs
@@ -73,7 +73,7 @@
         fleet.launch(&name).await
     }
 
-    /// Kills a follower permanently, starts an empty controller at a new address, and waits until it is a voter.
+    /// Kills a follower permanently, starts an empty controller at a new address, and gives it time to become a voter.
     pub(super) async fn replace_voter(&mut self, fleet: &mut Fleet) -> Result<(), FleetError> {
         let Some(name) = self.choose_follower(fleet).await else {
             return Ok(());
