--- a/testing/fleet/src/sim/runners.rs
+++ b/testing/fleet/src/sim/runners.rs
@@ -37,7 +37,8 @@
     /// The number of requests of the same lease holder that it runs, including this one.
     running_count: u32,
     slots: u32,
-    /// The number of good responses that slow start counts; it allows one more concurrent request than that.
+    /// The number of good responses that slow start counts; it allows one more concurrent request than that. An adopted
+    /// runner starts with half of its slots.
     answered: u32,
     ready_at: MonotonicTime,
 }
