--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -30,6 +30,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(in crate::sim) enum ReplyTarget {
     Caller,
+    /// The daemon that forwarded the request, and the number that the request has there.
     Hop {
         node: Node,
         incarnation: u64,
