--- a/testing/fleet/src/sim/daemon/outputs.rs
+++ b/testing/fleet/src/sim/daemon/outputs.rs
@@ -212,7 +212,7 @@
         }
     }
 
-    /// Passes the leader's reply to all requests that wait for the function's lease; none if the reply was lost.
+    /// Passes the leader's reply, or its loss if there is no result, to all requests that wait for the function's lease.
     pub(in crate::sim) fn handle_acquire_result(
         &mut self,
         index: usize,
