--- a/testing/fleet/src/fleet/layout.rs
+++ b/testing/fleet/src/fleet/layout.rs
@@ -76,7 +76,8 @@
 }
 
 impl Layout {
-    /// Lays out a fleet, creates its folder and writes the machines' settings there.
+    /// Lays out a fleet, creates its folder and writes the machines' settings there. With `reuse_ports`, the platform
+    /// gives new runners the ports of stopped ones.
     ///
     /// # Errors
     /// Fails if no loopback addresses are free or a file cannot be written.
@@ -87,7 +88,7 @@
         seed: u64,
         reuse_ports: bool,
     ) -> Result<Self, FleetError> {
-        let at = |error| FleetError::Machine(folder.to_owned(), error);
+        let at = |error| FleetError::Io(folder.to_owned(), error);
         std::fs::create_dir_all(folder).map_err(at)?;
         let address_block = AddressBlock::reserve().map_err(at)?;
         let mut layout = Self {
@@ -235,7 +236,7 @@
     fn add_with_settings(&mut self, machine: Machine, settings: &Value) -> Result<(), FleetError> {
         let path = self.settings_path(&machine.name);
         let text = serde_json::to_string_pretty(settings).unwrap_or_default();
-        std::fs::write(&path, text).map_err(|error| FleetError::Machine(path, error))?;
+        std::fs::write(&path, text).map_err(|error| FleetError::Io(path, error))?;
         self.machines.insert(machine.name.clone(), machine);
         Ok(())
     }
--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -5,6 +5,7 @@
 use super::disk::{SimDisk, UnsyncedWrite};
 use super::event::{ControllerEvent, Event, LinkEvent, OperatorEvent, PlatformEvent};
 use super::flaw::Flaw;
+use super::links::TO_DAEMON_STREAMS;
 use super::network::{Node, PLATFORM, Requester};
 use super::simulation::Simulation;
 use common::clock::MonotonicTime;
@@ -236,17 +237,17 @@
                     self.forge_approval(index, to_node, &frame);
                 }
                 if self.network.reaches(node, to_node) && !self.rng.random_bool(0.001) {
-                    let key = (node, to_node);
+                    let event_stream = (node, to_node);
                     let delay = self.network.delay(&mut self.rng);
                     self.queue.push_in_order(
-                        key,
+                        event_stream,
                         delay,
                         ControllerEvent::ConsensusFrame(to_node, frame),
                     );
                 }
             }
             ControllerOutput::Write(ticket, job) => self.begin_write(index, ticket, job),
-            ControllerOutput::FrameToDaemon(stream, frame) => self.send_down(stream, frame),
+            ControllerOutput::FrameToDaemon(stream, frame) => self.send_to_daemon(stream, frame),
             ControllerOutput::CloseStream(stream) => self.close_link(stream.0),
             ControllerOutput::RequestLists => self.read_lists(index),
             ControllerOutput::StopRunner(order) => {
@@ -347,7 +348,8 @@
         self.unsynced.complete(index, job);
     }
 
-    fn send_down(&mut self, stream: StreamId, frame: LeaderToDaemon) {
+    /// Sends a frame to the daemon at the other end of a link.
+    fn send_to_daemon(&mut self, stream: StreamId, frame: LeaderToDaemon) {
         let Some(link) = self.links.get(stream.0) else {
             return;
         };
@@ -374,9 +376,12 @@
             _ => {}
         }
         let delay = self.network.delay(&mut self.rng);
-        let key = (Node(2_000_000 + stream.0 as usize), to);
-        self.queue
-            .push_in_order(key, delay, LinkEvent::FrameToDaemon(stream.0, frame));
+        let event_stream = (Node(TO_DAEMON_STREAMS + stream.0 as usize), to);
+        self.queue.push_in_order(
+            event_stream,
+            delay,
+            LinkEvent::FrameToDaemon(stream.0, frame),
+        );
     }
 
     pub(super) fn poll_platform(&mut self, index: usize) {
--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -30,6 +30,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(in crate::sim) enum ReplyTarget {
     Caller,
+    /// The daemon that forwarded the request, and the number that the request has there.
     Hop {
         node: Node,
         incarnation: u64,
@@ -41,8 +42,8 @@
     forwarding: Forwarding,
     reply_target: ReplyTarget,
     awaited_step: AwaitedStep,
-    /// The number of its latest wake-up; earlier ones are ignored.
-    wake_number: u64,
+    /// The number of its most recent lookup timer. Earlier timers are ignored.
+    timer_generation: u64,
     forwarded_to: Option<Host>,
     /// The lease holder in this daemon that handles the request, and the request's ticket there.
     held_under: Option<(Arc<HeldFunction<u64>>, Ticket)>,
@@ -54,10 +55,14 @@
 /// What a request in a daemon waits for.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum AwaitedStep {
+    /// The next lookup of the function's lease holder.
     Lookup,
-    Outcome,
-    Forwarded,
-    Acquired,
+    /// The outcome from a lease holder in this daemon.
+    LocalOutcome,
+    /// The result of forwarding it to another daemon.
+    ForwardResult,
+    /// The leader's reply to the acquisition of the function's lease.
+    AcquireResult,
 }
 
 /// A simulated daemon.
@@ -79,8 +84,8 @@
     pub(in crate::sim) agent: Arc<Agent<u64>>,
     control: DaemonControl<u64>,
     pending_requests: BTreeMap<u64, PendingRequest>,
-    /// The numbers of the requests that wait for the result of acquiring a lease of the function.
-    acquires: BTreeMap<FunctionKey, Vec<u64>>,
+    /// The numbers of the requests that wait for a lease, by function.
+    awaiting_lease: BTreeMap<FunctionKey, Vec<u64>>,
     /// The number of the link to a controller that it currently uses.
     link: Option<u64>,
     shutdown: Option<GracefulShutdown>,
@@ -165,8 +170,8 @@
         )
     }
 
-    /// Schedules the next lookup of a request at a time on the daemon's clock; earlier wake-ups are then ignored.
-    pub(in crate::sim) fn schedule_wake(
+    /// Sets a request's lookup timer to a time on the daemon's clock. Earlier timers are then ignored.
+    pub(in crate::sim) fn schedule_lookup(
         &mut self,
         index: usize,
         local_at: MonotonicTime,
@@ -184,9 +189,9 @@
         let Some(pending) = process.pending_requests.get_mut(&number) else {
             return;
         };
-        pending.wake_number += 1;
-        let wake = DaemonEvent::Lookup(node, incarnation, number, pending.wake_number);
-        self.queue.push(delay, wake);
+        pending.timer_generation += 1;
+        let lookup = DaemonEvent::Lookup(node, incarnation, number, pending.timer_generation);
+        self.queue.push(delay, lookup);
     }
 
     /// Starts a daemon in a new incarnation.
@@ -225,7 +230,7 @@
             agent,
             control,
             pending_requests: BTreeMap::new(),
-            acquires: BTreeMap::new(),
+            awaiting_lease: BTreeMap::new(),
             link: None,
             shutdown: None,
             is_disturbed: false,
--- a/testing/fleet/src/sim/daemon/outputs.rs
+++ b/testing/fleet/src/sim/daemon/outputs.rs
@@ -2,6 +2,7 @@
 
 use super::AwaitedStep;
 use crate::sim::event::{DaemonEvent, LinkEvent};
+use crate::sim::links::TO_CONTROLLER_STREAMS;
 use crate::sim::network::Node;
 use crate::sim::simulation::Simulation;
 use common::frames::{AcquireResult, DaemonToLeader};
@@ -34,7 +35,7 @@
                     self.close_link(link);
                 }
             }
-            DaemonControlOutput::SendFrame(frame) => self.send_up(index, frame),
+            DaemonControlOutput::SendFrame(frame) => self.send_to_controller(index, frame),
             DaemonControlOutput::HeartbeatDatagram(heartbeat, to_addresses) => {
                 for to in to_addresses {
                     let Some(to_node) = self.nodes.node_at(to) else {
@@ -59,23 +60,23 @@
             DaemonControlOutput::Acquired {
                 function, result, ..
             } => {
-                self.count_acquired(result.as_ref());
-                self.acquired(index, &function, result);
+                self.count_acquire_result(result.as_ref());
+                self.handle_acquire_result(index, &function, result);
             }
             DaemonControlOutput::AcquisitionsLost => {
                 let Some(process) = &mut self.nodes.daemon_mut(index).process else {
                     return;
                 };
-                let waiting = std::mem::take(&mut process.acquires);
+                let waiting = std::mem::take(&mut process.awaiting_lease);
                 for function in waiting.into_keys() {
-                    self.acquired(index, &function, None);
+                    self.handle_acquire_result(index, &function, None);
                 }
             }
             DaemonControlOutput::Changed => self.look_up_all(index),
             DaemonControlOutput::Installed(version) => self.check_install(index, version),
             DaemonControlOutput::LogEvent(event, detail) => {
                 if event == common::events::LEASE_GRANTED {
-                    self.check_granted(index);
+                    self.check_new_leases(index);
                 }
                 self.record.trace(self.queue.now(), || {
                     format!("daemon {index} {event} {detail}")
@@ -91,7 +92,7 @@
             .check_installed(self.queue.now(), index, incarnation, version);
     }
 
-    pub(in crate::sim) fn count_acquired(&mut self, result: Option<&AcquireResult>) {
+    pub(in crate::sim) fn count_acquire_result(&mut self, result: Option<&AcquireResult>) {
         self.record.count_event(match result {
             Some(AcquireResult::Granted { .. }) => "acquired: granted",
             Some(AcquireResult::HeldBy { .. }) => "acquired: owner",
@@ -101,7 +102,8 @@
         });
     }
 
-    pub(in crate::sim) fn send_up(&mut self, index: usize, frame: DaemonToLeader) {
+    /// Sends a frame to the controller on the daemon's current link.
+    pub(in crate::sim) fn send_to_controller(&mut self, index: usize, frame: DaemonToLeader) {
         let Some(process) = &self.nodes.daemon(index).process else {
             return;
         };
@@ -119,9 +121,9 @@
             self.record.count_event("acquisitions");
         }
         let delay = self.network.delay(&mut self.rng);
-        let key = (Node(1_000_000 + link as usize), to);
+        let stream = (Node(TO_CONTROLLER_STREAMS + link as usize), to);
         self.queue
-            .push_in_order(key, delay, LinkEvent::FrameToController(link, frame));
+            .push_in_order(stream, delay, LinkEvent::FrameToController(link, frame));
     }
 
     /// Checks that each runner instance is used by at most one running lease holder.
@@ -173,7 +175,7 @@
 
     /// Checks the new function leases of a daemon: no other daemon may serve the function, and all of its running
     /// runners must have been adopted.
-    pub(in crate::sim) fn check_granted(&mut self, index: usize) {
+    pub(in crate::sim) fn check_new_leases(&mut self, index: usize) {
         let Some(agent) = self.nodes.agent(index) else {
             return;
         };
@@ -210,7 +212,8 @@
         }
     }
 
-    pub(in crate::sim) fn acquired(
+    /// Passes the leader's reply, or its loss if there is no result, to all requests that wait for the function's lease.
+    pub(in crate::sim) fn handle_acquire_result(
         &mut self,
         index: usize,
         function: &FunctionKey,
@@ -219,11 +222,11 @@
         let Some(process) = &mut self.nodes.daemon_mut(index).process else {
             return;
         };
-        for number in process.acquires.remove(function).unwrap_or_default() {
+        for number in process.awaiting_lease.remove(function).unwrap_or_default() {
             self.step(
                 index,
                 number,
-                AwaitedStep::Acquired,
+                AwaitedStep::AcquireResult,
                 |forwarding, agent, now| {
                     forwarding.handle_acquire_result(agent, now, result.clone())
                 },
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -14,6 +14,7 @@
 use std::time::Duration;
 
 impl Simulation {
+    /// Draws the delay of a message to the platform or a runner, which is occasionally much longer than usual.
     pub(in crate::sim) fn occasionally_long_delay(&mut self) -> Duration {
         if self.rng.random_bool(0.02) {
             self.rng
@@ -104,7 +105,7 @@
             forwarding,
             reply_target,
             awaited_step: AwaitedStep::Lookup,
-            wake_number: 0,
+            timer_generation: 0,
             forwarded_to: None,
             held_under: None,
             regional_delay_deciseconds: 0,
@@ -114,8 +115,13 @@
         self.advance(index, number);
     }
 
-    /// Handles a wake-up of a request, unless a later one has been scheduled since.
-    pub(in crate::sim) fn wake(&mut self, index: usize, number: u64, wake_number: u64) {
+    /// Repeats the lookup of a request when its timer expires, unless a later timer was set since.
+    pub(in crate::sim) fn handle_lookup_timer(
+        &mut self,
+        index: usize,
+        number: u64,
+        timer_generation: u64,
+    ) {
         let is_due = self
             .nodes
             .daemon(index)
@@ -125,7 +131,7 @@
                 process
                     .pending_requests
                     .get(&number)
-                    .is_some_and(|pending| pending.wake_number == wake_number)
+                    .is_some_and(|pending| pending.timer_generation == timer_generation)
             });
         if is_due {
             self.advance(index, number);
@@ -147,11 +153,12 @@
         self.step(
             index,
             number,
-            AwaitedStep::Acquired,
+            AwaitedStep::AcquireResult,
             |forwarding, agent, now| forwarding.advance(agent, now),
         );
     }
 
+    /// Repeats the lookup of all requests that wait for one, after a change.
     pub(in crate::sim) fn look_up_all(&mut self, index: usize) {
         let node = self.nodes.daemon(index).node;
         let incarnation = self.nodes.daemon(index).incarnation;
@@ -172,9 +179,9 @@
             let Some(pending) = process.pending_requests.get_mut(&number) else {
                 continue;
             };
-            pending.wake_number += 1;
-            let wake = DaemonEvent::Lookup(node, incarnation, number, pending.wake_number);
-            self.queue.push(Duration::from_micros(2), wake);
+            pending.timer_generation += 1;
+            let lookup = DaemonEvent::Lookup(node, incarnation, number, pending.timer_generation);
+            self.queue.push(Duration::from_micros(2), lookup);
         }
     }
 
@@ -186,7 +193,7 @@
         };
         let hosts = process.agent.live_hosts();
         let is_to_departed = |pending: &PendingRequest| {
-            pending.awaited_step == AwaitedStep::Forwarded
+            pending.awaited_step == AwaitedStep::ForwardResult
                 && pending
                     .forwarded_to
                     .as_ref()
@@ -208,10 +215,11 @@
             };
             process.pending_requests.insert(new_number, pending);
             self.record.count_event("passes to the gone");
-            self.forwarded(index, new_number, ForwardResult::Lost);
+            self.handle_forward_result(index, new_number, ForwardResult::Lost);
         }
     }
 
+    /// Passes an input to a request if it waits for this input, and executes its next step.
     pub(super) fn step(
         &mut self,
         index: usize,
@@ -235,9 +243,9 @@
         let function = pending.forwarding.request().function.clone();
         let is_first = !pending.forwarding.request().is_retry;
         pending.awaited_step = match &next_step {
-            ForwardingStep::Serve(..) => AwaitedStep::Outcome,
-            ForwardingStep::Forward { .. } => AwaitedStep::Forwarded,
-            ForwardingStep::Acquire { .. } => AwaitedStep::Acquired,
+            ForwardingStep::Serve(..) => AwaitedStep::LocalOutcome,
+            ForwardingStep::Forward { .. } => AwaitedStep::ForwardResult,
+            ForwardingStep::Acquire { .. } => AwaitedStep::AcquireResult,
             ForwardingStep::Wait { .. } | ForwardingStep::End(..) => AwaitedStep::Lookup,
         };
         if function != function_before && is_first {
@@ -257,11 +265,14 @@
                 self.forward(index, number, &host, body, wait_until);
             }
             ForwardingStep::Acquire { wait_until } => self.acquire(index, number, wait_until),
-            ForwardingStep::Wait { wait_until } => self.schedule_wake(index, wait_until, number),
-            ForwardingStep::End(outcome, holder) => self.end(index, number, outcome, holder),
+            ForwardingStep::Wait { wait_until } => self.schedule_lookup(index, wait_until, number),
+            ForwardingStep::End(outcome, holder) => {
+                self.end_request(index, number, outcome, holder)
+            }
         }
     }
 
+    /// Passes a request to a lease holder in this daemon.
     pub(in crate::sim) fn serve(
         &mut self,
         index: usize,
@@ -291,12 +302,13 @@
             self.step(
                 index,
                 number,
-                AwaitedStep::Outcome,
+                AwaitedStep::LocalOutcome,
                 |forwarding, agent, now| forwarding.handle_local_outcome(agent, now, outcome),
             );
         }
     }
 
+    /// Requests the function's lease from the leader, unless another request for the function has done so.
     pub(in crate::sim) fn acquire(&mut self, index: usize, number: u64, wait_until: MonotonicTime) {
         let node = self.nodes.daemon(index).node;
         let incarnation = self.nodes.daemon(index).incarnation;
@@ -314,7 +326,7 @@
             .request()
             .function
             .clone();
-        let waiting = process.acquires.entry(function.clone()).or_default();
+        let waiting = process.awaiting_lease.entry(function.clone()).or_default();
         waiting.push(number);
         if waiting.len() == 1 {
             self.update_control(index, |control, agent, now| {
@@ -323,6 +335,7 @@
         }
     }
 
+    /// Forwards a request to another daemon.
     pub(in crate::sim) fn forward(
         &mut self,
         index: usize,
@@ -389,19 +402,26 @@
         {
             pending.regional_delay_deciseconds = regional_delay_deciseconds;
         }
-        self.forwarded(index, number, result);
+        self.handle_forward_result(index, number, result);
     }
 
-    pub(in crate::sim) fn forwarded(&mut self, index: usize, number: u64, result: ForwardResult) {
+    /// Passes the result of forwarding to a request that waits for it.
+    pub(in crate::sim) fn handle_forward_result(
+        &mut self,
+        index: usize,
+        number: u64,
+        result: ForwardResult,
+    ) {
         self.step(
             index,
             number,
-            AwaitedStep::Forwarded,
+            AwaitedStep::ForwardResult,
             |forwarding, agent, now| forwarding.handle_forward_result(agent, now, result),
         );
     }
 
-    pub(in crate::sim) fn end(
+    /// Returns the outcome of a request to its caller, or to the daemon that forwarded it.
+    pub(in crate::sim) fn end_request(
         &mut self,
         index: usize,
         number: u64,
@@ -424,7 +444,7 @@
                     &outcome,
                     regional_delay_deciseconds,
                 );
-                self.answer_caller(pending.forwarding.request(), &outcome);
+                self.deliver_outcome(pending.forwarding.request(), &outcome);
             }
             ReplyTarget::Hop {
                 node: reply_node,
@@ -492,7 +512,8 @@
         }
     }
 
-    pub(in crate::sim) fn answer_caller(
+    /// Checks and counts the outcome that a caller receives. After a refusal, the caller may retry.
+    pub(in crate::sim) fn deliver_outcome(
         &mut self,
         request: &FunctionRequest,
         outcome: &RequestOutcome,
--- a/testing/fleet/src/synthetic/daemons/control.rs
+++ b/testing/fleet/src/synthetic/daemons/control.rs
@@ -78,7 +78,7 @@
             agent,
             daemon_control,
             pending_requests: HashMap::new(),
-            acquires: BTreeMap::new(),
+            awaiting_lease: BTreeMap::new(),
             link: None,
             heartbeats_received: 0,
             due: self.now,
@@ -180,18 +180,20 @@
             DaemonControlOutput::HeartbeatDatagram(heartbeat, addresses) => {
                 self.send_heartbeat(daemon, heartbeat, &addresses)
             }
-            DaemonControlOutput::Holder(held, outputs) => self.drive(daemon, &held, outputs),
+            DaemonControlOutput::Holder(held, outputs) => {
+                self.execute_outputs(daemon, &held, outputs)
+            }
             DaemonControlOutput::Acquired {
                 function, result, ..
             } => {
-                self.acquired(daemon, &function, &result);
+                self.handle_acquire_result(daemon, &function, &result);
             }
             DaemonControlOutput::AcquisitionsLost => {
                 let Some(started_daemon) = &mut self.daemons[daemon] else {
                     return;
                 };
-                for function in std::mem::take(&mut started_daemon.acquires).into_keys() {
-                    self.acquired(daemon, &function, &None);
+                for function in std::mem::take(&mut started_daemon.awaiting_lease).into_keys() {
+                    self.handle_acquire_result(daemon, &function, &None);
                 }
             }
             DaemonControlOutput::Changed => self.look_up_all(daemon),
--- a/testing/fleet/src/synthetic/daemons/forwarding.rs
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -27,9 +27,9 @@
     ) {
         match event {
             RequestEvent::Lookup(generation) => self.handle_lookup_timer(request, generation),
-            RequestEvent::AcquireTimedOut => self.advance(request, AwaitedStep::Acquired),
-            RequestEvent::HopDone(frame) => self.handle_hop_done(request, &frame),
-            RequestEvent::Forwarded(result) => self.forwarded(request, result),
+            RequestEvent::AcquireTimedOut => self.advance(request, AwaitedStep::AcquireResult),
+            RequestEvent::ForwardReply(frame) => self.handle_forward_reply(request, &frame),
+            RequestEvent::Forwarded(result) => self.handle_forward_result(request, result),
         }
     }
 
@@ -134,12 +134,13 @@
                 wait_until,
             } => self.forward(request, &host, body, wait_until),
             ForwardingStep::Acquire { wait_until } => self.acquire(request, wait_until),
-            ForwardingStep::Wait { wait_until } => self.wait(request, wait_until),
-            ForwardingStep::End(outcome, holder) => self.end(request, outcome, holder),
+            ForwardingStep::Wait { wait_until } => self.schedule_lookup(request, wait_until),
+            ForwardingStep::End(outcome, holder) => self.end_request(request, outcome, holder),
         }
     }
 
-    fn wait(&mut self, request: RequestKey, wait_until: MonotonicTime) {
+    /// Sets the timer of a request's next lookup. Earlier timers are then ignored.
+    fn schedule_lookup(&mut self, request: RequestKey, wait_until: MonotonicTime) {
         let Some(pending) = self.pending_request(request) else {
             return;
         };
@@ -152,6 +153,7 @@
         );
     }
 
+    /// Passes a request to a lease holder in this daemon.
     fn serve(
         &mut self,
         request: RequestKey,
@@ -167,17 +169,19 @@
             self.meter.measure_step(Role::Holder, Work::Runs, || {
                 held.admit(now, agent.ticket(), holder_request, number)
             });
-        self.drive(daemon, held, outputs);
+        self.execute_outputs(daemon, held, outputs);
         self.tick_for_holder(daemon, held);
         if let Some((number, outcome)) = immediate_outcome {
-            self.served(RequestKey { daemon, number }, outcome);
+            self.handle_local_outcome(RequestKey { daemon, number }, outcome);
         }
     }
 
-    pub(super) fn served(&mut self, request: RequestKey, outcome: RequestOutcome) {
-        self.step(request, AwaitedStep::Outcome, |forwarding, agent, now| {
-            forwarding.handle_local_outcome(agent, now, outcome)
-        });
+    pub(super) fn handle_local_outcome(&mut self, request: RequestKey, outcome: RequestOutcome) {
+        self.step(
+            request,
+            AwaitedStep::LocalOutcome,
+            |forwarding, agent, now| forwarding.handle_local_outcome(agent, now, outcome),
+        );
     }
 
     /// Forwards a request to another daemon.
@@ -224,7 +228,8 @@
         }
     }
 
-    fn handle_hop_done(&mut self, request: RequestKey, bytes: &Bytes) {
+    /// Handles the reply of the daemon to which a request was forwarded.
+    fn handle_forward_reply(&mut self, request: RequestKey, bytes: &Bytes) {
         let Some(frame) = self.decode_hop(bytes) else {
             return;
         };
@@ -233,18 +238,20 @@
         } = frame.body
         {
             let result = ForwardResult::Completed(outcome, holder.0.into_iter().next());
-            self.forwarded(request, result);
+            self.handle_forward_result(request, result);
         }
     }
 
-    fn forwarded(&mut self, request: RequestKey, result: ForwardResult) {
-        self.step(request, AwaitedStep::Forwarded, |forwarding, agent, now| {
-            forwarding.handle_forward_result(agent, now, result)
-        });
+    fn handle_forward_result(&mut self, request: RequestKey, result: ForwardResult) {
+        self.step(
+            request,
+            AwaitedStep::ForwardResult,
+            |forwarding, agent, now| forwarding.handle_forward_result(agent, now, result),
+        );
     }
 
     /// Returns the outcome of a request to its caller, or to the daemon that forwarded it.
-    fn end(&mut self, request: RequestKey, outcome: RequestOutcome, holder: Option<Host>) {
+    fn end_request(&mut self, request: RequestKey, outcome: RequestOutcome, holder: Option<Host>) {
         let Some(started_daemon) = &mut self.daemons[request.daemon] else {
             return;
         };
@@ -281,7 +288,7 @@
         let delay = Self::message_delay(daemon, requester.daemon);
         self.push(
             delay,
-            Event::Request(requester, RequestEvent::HopDone(bytes)),
+            Event::Request(requester, RequestEvent::ForwardReply(bytes)),
         );
     }
 
@@ -300,7 +307,10 @@
             return;
         };
         let function = pending.forwarding.request().function.clone();
-        let waiting = started_daemon.acquires.entry(function.clone()).or_default();
+        let waiting = started_daemon
+            .awaiting_lease
+            .entry(function.clone())
+            .or_default();
         waiting.push(number);
         if waiting.len() == 1 {
             self.step_control(daemon, Work::Leases, |daemon_control, agent, now| {
@@ -310,7 +320,7 @@
     }
 
     /// Passes the leader's reply to all requests that wait for the function's lease.
-    pub(super) fn acquired(
+    pub(super) fn handle_acquire_result(
         &mut self,
         daemon: usize,
         function: &FunctionKey,
@@ -319,11 +329,19 @@
         let Some(started_daemon) = &mut self.daemons[daemon] else {
             return;
         };
-        for number in started_daemon.acquires.remove(function).unwrap_or_default() {
+        for number in started_daemon
+            .awaiting_lease
+            .remove(function)
+            .unwrap_or_default()
+        {
             let request = RequestKey { daemon, number };
-            self.step(request, AwaitedStep::Acquired, |forwarding, agent, now| {
-                forwarding.handle_acquire_result(agent, now, result.clone())
-            });
+            self.step(
+                request,
+                AwaitedStep::AcquireResult,
+                |forwarding, agent, now| {
+                    forwarding.handle_acquire_result(agent, now, result.clone())
+                },
+            );
         }
     }
 }
@@ -331,9 +349,9 @@
 /// Returns the step that a request waits for after this one.
 fn awaited_after(step: &ForwardingStep<u64>) -> AwaitedStep {
     match step {
-        ForwardingStep::Serve(..) => AwaitedStep::Outcome,
-        ForwardingStep::Forward { .. } => AwaitedStep::Forwarded,
-        ForwardingStep::Acquire { .. } => AwaitedStep::Acquired,
+        ForwardingStep::Serve(..) => AwaitedStep::LocalOutcome,
+        ForwardingStep::Forward { .. } => AwaitedStep::ForwardResult,
+        ForwardingStep::Acquire { .. } => AwaitedStep::AcquireResult,
         ForwardingStep::Wait { .. } | ForwardingStep::End(..) => AwaitedStep::Lookup,
     }
 }
--- a/testing/fleet/src/synthetic/events.rs
+++ b/testing/fleet/src/synthetic/events.rs
@@ -56,7 +56,7 @@
     /// An event of a request to a ledger replica.
     Replica(ReplicaRequestKey, ReplicaEvent),
     /// The next functions are called for the first time.
-    Fill,
+    FirstCalls,
     /// A caller calls a random function.
     Call,
     /// The measurement starts.
@@ -103,9 +103,11 @@
 pub(super) enum RequestEvent {
     /// The request repeats its lookup, unless its timer generation is no longer this one.
     Lookup(u64),
+    /// The wait for the leader's reply to an acquire times out.
     AcquireTimedOut,
-    /// The other daemon's reply arrives.
-    HopDone(Bytes),
+    /// The reply of the daemon to which the request was forwarded arrives.
+    ForwardReply(Bytes),
+    /// Forwarding the request ends without a reply.
     Forwarded(ForwardResult),
 }
 
@@ -114,7 +116,7 @@
     /// A message from its state machine to its daemon.
     Message(HolderMessage),
     /// A runner has finished a run.
-    RunDone {
+    RunFinished {
         ticket: Ticket,
         runner: RunnerId,
         runner_attempt: Box<RunnerAttempt>,
