--- a/testing/fleet/src/commands/simulator.rs
+++ b/testing/fleet/src/commands/simulator.rs
@@ -73,7 +73,7 @@
         }
         if !sim_result.violations.is_empty() {
             violating_seeds.push(seed);
-        } else if sim_result.share_after < 0.5 && !is_scripted {
+        } else if sim_result.settled_answer_share < 0.5 && !is_scripted {
             unrecovered_seeds.push(seed);
         }
     }
--- a/testing/fleet/src/sim/digest.rs
+++ b/testing/fleet/src/sim/digest.rs
@@ -70,7 +70,7 @@
         let mut simulation_hasher = Sha256::new();
         simulation_hasher.update(sim_result.event_digest.as_bytes());
         simulation_hasher.update((sim_result.violations.len() as u64).to_be_bytes());
-        simulation_hasher.update(sim_result.share_after.to_bits().to_be_bytes());
+        simulation_hasher.update(sim_result.settled_answer_share.to_bits().to_be_bytes());
         simulation_hasher.update(sim_result.recovered_after.as_nanos().to_be_bytes());
         simulation_hasher.update(sim_result.steps.to_be_bytes());
         let mut counts: Vec<u64> = sim_result.counts.values().copied().collect();
--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -115,7 +115,7 @@
     /// How often each check was performed.
     pub checked: BTreeMap<&'static str, u64>,
     /// The share of requests that were answered, from 12 s after all faults were undone.
-    pub share_after: f64,
+    pub settled_answer_share: f64,
     /// The time from when all faults were undone until at least half of the calls were answered again.
     pub recovered_after: Duration,
     /// The number of counted steps of the control plane.
@@ -144,7 +144,7 @@
             out,
             "{} violations; {:.0}% answered after all faults were undone, recovered in {} ms; {}; checks: {}",
             self.violations.len(),
-            self.share_after * 100.0,
+            self.settled_answer_share * 100.0,
             self.recovered_after.as_millis(),
             counts.join(", "),
             checked.join(", ")
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -162,7 +162,7 @@
             violations: self.checks.violations,
             counts: record.counts,
             checked: self.checks.checked,
-            share_after: self.answer_shares.settled_share(),
+            settled_answer_share: self.answer_shares.settled_share(),
             recovered_after: self.answer_shares.recovered_after(),
             steps: self.script.steps,
             recovery: self.recovery.measured(self.plan.daemons),
--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -19,7 +19,7 @@
 fn no_seed_violates_safety_and_service_recovers() -> Result<()> {
     for seed in 1..=24 {
         let sim_result = verify_clean(SimPlan::seeded(seed))?;
-        verify_that!(sim_result.share_after, ge(0.5))?;
+        verify_that!(sim_result.settled_answer_share, ge(0.5))?;
         verify_that!(sim_result.checked.get("run"), some(ge(&100)))?;
     }
     Ok(())
@@ -39,7 +39,7 @@
             ..SimPlan::seeded(seed)
         };
         let sim_result = verify_clean(plan)?;
-        verify_that!(sim_result.share_after, ge(0.5))?;
+        verify_that!(sim_result.settled_answer_share, ge(0.5))?;
     }
     Ok(())
 }
@@ -86,7 +86,7 @@
             ..regional_plan(seed)
         };
         let sim_result = verify_clean(plan)?;
-        verify_that!(sim_result.share_after, ge(0.5))?;
+        verify_that!(sim_result.settled_answer_share, ge(0.5))?;
         served_count += count_of(&sim_result, "served under a region's key");
     }
     verify_that!(served_count, ge(1000))
