--- a/testing/fleet/src/history/mod.rs
+++ b/testing/fleet/src/history/mod.rs
@@ -211,12 +211,12 @@
     }
 
     /// Records that a zone order was acknowledged.
-    pub fn zone_order_acknowledged(&mut self, at: MonotonicTime, order: ZoneOrderId) {
+    pub fn record_zone_order_acknowledged(&mut self, at: MonotonicTime, order: ZoneOrderId) {
         self.zone_orders[order.0].state = ZoneOrderState::Acknowledged(at);
     }
 
     /// Records that a pending zone order was abandoned. From then on, it cannot take effect.
-    pub fn zone_order_abandoned(&mut self, at: MonotonicTime, order: ZoneOrderId) {
+    pub fn record_zone_order_abandoned(&mut self, at: MonotonicTime, order: ZoneOrderId) {
         let state = &mut self.zone_orders[order.0].state;
         if matches!(state, ZoneOrderState::Pending) {
             *state = ZoneOrderState::Abandoned(at);
--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -280,7 +280,7 @@
         if let CommandKind::Zone(order) = command_kind {
             self.operators
                 .history
-                .zone_order_abandoned(self.queue.now(), order);
+                .record_zone_order_abandoned(self.queue.now(), order);
         }
         self.record.count_event("order given up");
     }
@@ -302,7 +302,7 @@
             (CommandKind::Zone(order), OperationReply::Accepted { .. }) => {
                 self.operators
                     .history
-                    .zone_order_acknowledged(self.queue.now(), order);
+                    .record_zone_order_acknowledged(self.queue.now(), order);
                 self.end_command(sent.command, "zone order acknowledged");
             }
             (
@@ -311,7 +311,7 @@
             ) => {
                 self.operators
                     .history
-                    .zone_order_abandoned(self.queue.now(), order);
+                    .record_zone_order_abandoned(self.queue.now(), order);
                 self.end_command(sent.command, "zone order refused");
             }
             (CommandKind::Read, OperationReply::Spec { document, .. }) => {
--- a/testing/fleet/tests/history.rs
+++ b/testing/fleet/tests/history.rs
@@ -75,7 +75,7 @@
     /// Records an order to evacuate zone `z` at 1 ms, and its acknowledgement at 5 ms.
     fn evacuate_zone(&mut self) {
         let evacuation = self.0.record_zone_order(at(1), "z", true);
-        self.0.zone_order_acknowledged(at(5), evacuation);
+        self.0.record_zone_order_acknowledged(at(5), evacuation);
     }
 
     #[track_caller]
@@ -358,7 +358,7 @@
     let restoration = builder.0.record_zone_order(at(10), "z", false);
     builder.read_zones(11, 12, 0, 0, &["z"]);
     builder.read_zones(11, 12, 0, 0, &[]);
-    builder.0.zone_order_acknowledged(at(15), restoration);
+    builder.0.record_zone_order_acknowledged(at(15), restoration);
     builder.read_zones(20, 21, 0, 0, &[]);
     builder.verify_explained()?;
     builder.read_zones(22, 23, 0, 0, &["z"]);
@@ -382,12 +382,12 @@
     builder.verify_finds_only(&lost)?;
     let mut builder = HistoryBuilder::default();
     let evacuation = builder.0.record_zone_order(at(1), "z", true);
-    builder.0.zone_order_abandoned(at(50), evacuation);
+    builder.0.record_zone_order_abandoned(at(50), evacuation);
     builder.read_zones(60, 61, 0, 0, &["z"]);
     builder.read_zones(62, 63, 0, 0, &[]);
     builder.verify_explained()?;
     let restoration = builder.0.record_zone_order(at(70), "z", false);
-    builder.0.zone_order_acknowledged(at(75), restoration);
+    builder.0.record_zone_order_acknowledged(at(75), restoration);
     builder.read_zones(80, 81, 0, 0, &["z"]);
     let late = Anomaly::ZoneUnexplained {
         zone: "z".to_owned(),
