--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -343,7 +343,7 @@
         if is_dead {
             self.queue.push(
                 delay,
-                DaemonEvent::Forwarded(node, incarnation, number, ForwardResult::Unsent, 0),
+                DaemonEvent::ForwardEnded(node, incarnation, number, ForwardResult::Unsent, 0),
             );
             return;
         }
@@ -356,13 +356,13 @@
             };
             self.queue.push(
                 failed_after,
-                DaemonEvent::Forwarded(node, incarnation, number, result, 0),
+                DaemonEvent::ForwardEnded(node, incarnation, number, result, 0),
             );
             return;
         }
         self.queue.push(
             wait_span,
-            DaemonEvent::Forwarded(node, incarnation, number, ForwardResult::Lost, 0),
+            DaemonEvent::ForwardEnded(node, incarnation, number, ForwardResult::Lost, 0),
         );
         let reply_target = ReplyTarget::Hop {
             node,
@@ -436,7 +436,7 @@
                     let result = ForwardResult::Completed(outcome, holder);
                     self.queue.push(
                         delay,
-                        DaemonEvent::Forwarded(
+                        DaemonEvent::ForwardEnded(
                             reply_node,
                             incarnation,
                             number,
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -98,7 +98,7 @@
             DaemonEvent::Hop(node, _, reply_target, body) => {
                 self.handle_hop(node.daemon_index(), reply_target, body)
             }
-            DaemonEvent::Forwarded(node, _, number, result, regional_delay_deciseconds) => {
+            DaemonEvent::ForwardEnded(node, _, number, result, regional_delay_deciseconds) => {
                 self.finish_forward(
                     node.daemon_index(),
                     number,
--- a/testing/fleet/src/sim/event/nodes.rs
+++ b/testing/fleet/src/sim/event/nodes.rs
@@ -118,7 +118,7 @@
     Hop(Node, u64, ReplyTarget, DaemonMessage),
     /// The result of a forwarded request is known: the request's number, the result, and the hint about the regional
     /// key in tenths of a second.
-    Forwarded(Node, u64, u64, ForwardResult, u8),
+    ForwardEnded(Node, u64, u64, ForwardResult, u8),
     /// A lease holder passes a message for the leader to its daemon.
     FromHolder(Node, u64, FunctionKey, FencingToken, HolderMessage),
     /// The process of a daemon that was stopped gracefully exits.
@@ -138,7 +138,7 @@
             | Self::Hop(node, incarnation, ..)
             | Self::FromHolder(node, incarnation, ..)
             | Self::ProcessExited(node, incarnation)
-            | Self::Forwarded(node, incarnation, ..) => (*node, Some(*incarnation)),
+            | Self::ForwardEnded(node, incarnation, ..) => (*node, Some(*incarnation)),
             Self::ReplicaReplied(exchange, _) => exchange.requester.target(),
             Self::HeartbeatDatagram(node, _) | Self::ReplicaRequested(node, ..) => (*node, None),
         }
@@ -151,7 +151,7 @@
             Self::Lookup(..) => 13,
             Self::AcquireTimedOut(..) => 14,
             Self::Hop(..) => 15,
-            Self::Forwarded(..) => 16,
+            Self::ForwardEnded(..) => 16,
             Self::FromHolder(..) => 17,
             Self::ProcessExited(..) => 18,
             Self::ReplicaRequested(..) => 30,
