--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -372,7 +372,7 @@
         let to_incarnation = self.nodes.daemon(to_node.daemon_index()).incarnation;
         self.queue.push(
             delay,
-            DaemonEvent::Hop(to_node, to_incarnation, reply_target, body),
+            DaemonEvent::PeerMessage(to_node, to_incarnation, reply_target, body),
         );
     }
 
--- a/testing/fleet/src/sim/daemon/shutdown.rs
+++ b/testing/fleet/src/sim/daemon/shutdown.rs
@@ -142,7 +142,7 @@
         let body = RequesterNotice::Withdrawn.into_message();
         self.queue.push(
             delay,
-            DaemonEvent::Hop(to_node, to_incarnation, reply_target, body),
+            DaemonEvent::PeerMessage(to_node, to_incarnation, reply_target, body),
         );
     }
 
--- a/testing/fleet/src/sim/digest.rs
+++ b/testing/fleet/src/sim/digest.rs
@@ -31,7 +31,7 @@
             Event::Daemon(DaemonEvent::HeartbeatDatagram(_, heartbeat)) => {
                 self.add_frame(heartbeat)
             }
-            Event::Daemon(DaemonEvent::Hop(_, _, _, body))
+            Event::Daemon(DaemonEvent::PeerMessage(_, _, _, body))
             | Event::Daemon(DaemonEvent::ReplicaRequested(.., body)) => self.add_frame(body),
             Event::Daemon(DaemonEvent::ReplicaReplied(.., Some(body))) => self.add_frame(body),
             _ => {}
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -95,7 +95,7 @@
             DaemonEvent::AcquireTimedOut(node, _, number) => {
                 self.handle_acquire_timeout(node.daemon_index(), number)
             }
-            DaemonEvent::Hop(node, _, reply_target, body) => {
+            DaemonEvent::PeerMessage(node, _, reply_target, body) => {
                 self.handle_hop(node.daemon_index(), reply_target, body)
             }
             DaemonEvent::ForwardEnded(node, _, number, result, regional_delay_deciseconds) => {
--- a/testing/fleet/src/sim/event/nodes.rs
+++ b/testing/fleet/src/sim/event/nodes.rs
@@ -115,7 +115,7 @@
     /// A request's wait for the leader's reply to an acquire times out.
     AcquireTimedOut(Node, u64, u64),
     /// A forwarded request, or a notice about one, arrives from another daemon.
-    Hop(Node, u64, ReplyTarget, DaemonMessage),
+    PeerMessage(Node, u64, ReplyTarget, DaemonMessage),
     /// The result of a forwarded request is known: the request's number, the result, and the hint about the regional
     /// key in tenths of a second.
     ForwardEnded(Node, u64, u64, ForwardResult, u8),
@@ -135,7 +135,7 @@
         match self {
             Self::Lookup(node, incarnation, ..)
             | Self::AcquireTimedOut(node, incarnation, _)
-            | Self::Hop(node, incarnation, ..)
+            | Self::PeerMessage(node, incarnation, ..)
             | Self::FromHolder(node, incarnation, ..)
             | Self::ProcessExited(node, incarnation)
             | Self::ForwardEnded(node, incarnation, ..) => (*node, Some(*incarnation)),
@@ -150,7 +150,7 @@
             Self::HeartbeatDatagram(..) => 12,
             Self::Lookup(..) => 13,
             Self::AcquireTimedOut(..) => 14,
-            Self::Hop(..) => 15,
+            Self::PeerMessage(..) => 15,
             Self::ForwardEnded(..) => 16,
             Self::FromHolder(..) => 17,
             Self::ProcessExited(..) => 18,
