--- a/testing/fleet/src/sim/controller.rs
+++ b/testing/fleet/src/sim/controller.rs
@@ -358,9 +358,9 @@
         }
         self.record.count_event("frames down");
         match &frame {
-            LeaderToDaemon::Renewed { .. } => {
-                self.recovery.renewed(self.queue.now(), to.daemon_index())
-            }
+            LeaderToDaemon::Renewed { .. } => self
+                .recovery
+                .record_renewal(self.queue.now(), to.daemon_index()),
             LeaderToDaemon::Hosts { hosts, .. } => {
                 self.record.count_events("hosts told", hosts.0.len())
             }
--- a/testing/fleet/src/sim/recovery.rs
+++ b/testing/fleet/src/sim/recovery.rs
@@ -24,14 +24,14 @@
     }
 
     /// Records that an order was acknowledged.
-    pub(crate) fn acknowledged(&mut self, now: MonotonicTime) {
+    pub(crate) fn record_acknowledgement(&mut self, now: MonotonicTime) {
         if let Some(started_at) = self.started_at {
             self.acknowledged_after.get_or_insert(now.since(started_at));
         }
     }
 
     /// Records that a daemon's session lease was renewed.
-    pub(crate) fn renewed(&mut self, now: MonotonicTime, daemon: usize) {
+    pub(crate) fn record_renewal(&mut self, now: MonotonicTime, daemon: usize) {
         if let Some(started_at) = self.started_at {
             self.renewed_after
                 .entry(daemon)
@@ -40,7 +40,7 @@
     }
 
     /// Returns the recovery times, if an order was acknowledged and the session leases of all daemons were renewed.
-    pub(crate) fn measured(&self, daemons: usize) -> Option<RecoveryTimes> {
+    pub(crate) fn recovery_times(&self, daemons: usize) -> Option<RecoveryTimes> {
         let first_lease = self.renewed_after.values().min().copied()?;
         let last_lease = self.renewed_after.values().max().copied()?;
         let are_all_renewed = self.renewed_after.len() == daemons;
--- a/testing/fleet/src/sim/reply_checks.rs
+++ b/testing/fleet/src/sim/reply_checks.rs
@@ -114,7 +114,7 @@
             } => {
                 self.reply_checks
                     .acknowledge(self.queue.now(), change, *version, expectation);
-                self.recovery.acknowledged(self.queue.now());
+                self.recovery.record_acknowledgement(self.queue.now());
                 self.note_acknowledgement();
             }
             OperationReply::Stale {
--- a/testing/fleet/src/sim/simulation.rs
+++ b/testing/fleet/src/sim/simulation.rs
@@ -146,7 +146,8 @@
             self.observe_event(&event);
             self.dispatch(event);
             self.take_violations();
-            if self.plan.ends_when_recovered && self.recovery.measured(self.plan.daemons).is_some()
+            if self.plan.ends_when_recovered
+                && self.recovery.recovery_times(self.plan.daemons).is_some()
             {
                 break;
             }
@@ -165,7 +166,7 @@
             settled_answer_share: self.answer_shares.settled_share(),
             recovered_after: self.answer_shares.recovered_after(),
             steps: self.script.steps,
-            recovery: self.recovery.measured(self.plan.daemons),
+            recovery: self.recovery.recovery_times(self.plan.daemons),
             event_digest: record.event_digest,
             trace: record.trace_lines,
         }
