--- a/testing/fleet/src/sim/reply_checks.rs
+++ b/testing/fleet/src/sim/reply_checks.rs
@@ -115,7 +115,7 @@
                 self.reply_checks
                     .acknowledge(self.queue.now(), change, *version, expectation);
                 self.recovery.record_acknowledgement(self.queue.now());
-                self.note_acknowledgement();
+                self.schedule_requested_power_losses();
             }
             OperationReply::Stale {
                 change, version, ..
--- a/testing/fleet/src/sim/script.rs
+++ b/testing/fleet/src/sim/script.rs
@@ -283,7 +283,7 @@
     }
 
     /// Schedules the power losses if the script asked for them after the next acknowledgement.
-    pub(super) fn note_acknowledgement(&mut self) {
+    pub(super) fn schedule_requested_power_losses(&mut self) {
         if std::mem::take(&mut self.script.loses_power_on_next_acknowledgement) {
             let first_delay = self.rng.within(Duration::ZERO, Duration::from_millis(5));
             let second_delay = self
