--- a/testing/fleet/src/sim/active_faults.rs
+++ b/testing/fleet/src/sim/active_faults.rs
@@ -30,7 +30,7 @@
     }
 
     /// Makes callers retry refused requests until the given time.
-    pub(super) fn retry_until(&mut self, until: MonotonicTime) {
+    pub(super) fn start_caller_retries(&mut self, until: MonotonicTime) {
         self.retrying_until = until;
     }
 
--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -254,7 +254,7 @@
             SimFault::RunnerFaults => self.start_runner_faults(duration),
             SimFault::CallBurst => self.send_call_burst(),
             SimFault::RareCallBurst => self.send_rare_call_burst(),
-            SimFault::ClientRetries => self.faults.retry_until(self.queue.now() + duration),
+            SimFault::ClientRetries => self.faults.start_caller_retries(self.queue.now() + duration),
             SimFault::DelayedList => self.delay_lists(duration),
             SimFault::ChangeBurst => self.send_change_burst(),
         }
