--- a/testing/fleet/src/sim/calls.rs
+++ b/testing/fleet/src/sim/calls.rs
@@ -28,7 +28,7 @@
         if self.faults.are_callers_retrying(self.queue.now()) && self.rng.random_bool(0.7) {
             let retry_after = self.rng.within(Duration::ZERO, Duration::from_millis(40));
             self.queue
-                .push(retry_after, CallerEvent::Repeat(request.route.clone()));
+                .push(retry_after, CallerEvent::RetryRefused(request.route.clone()));
         }
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// Sends a refused request again as a retry with a new idempotency key.
-    pub(super) fn repeat_call(&mut self, route_name: &str) {
+    pub(super) fn send_retry(&mut self, route_name: &str) {
         let idempotency_key = IdempotencyKey::from(format!("repeat-{}", self.numbers.next()));
         if let Some(index) = self.random_ingress() {
             self.call(
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -211,7 +211,7 @@
             CallerEvent::DuplicateCall(idempotency_key, route_name) => {
                 self.send_duplicate_call(idempotency_key, route_name)
             }
-            CallerEvent::Repeat(route_name) => self.repeat_call(&route_name),
+            CallerEvent::RetryRefused(route_name) => self.send_retry(&route_name),
         }
     }
 
--- a/testing/fleet/src/sim/event/environment.rs
+++ b/testing/fleet/src/sim/event/environment.rs
@@ -85,7 +85,7 @@
     /// A caller sends a request again with the same idempotency key.
     DuplicateCall(IdempotencyKey, &'static str),
     /// A caller repeats a refused request.
-    Repeat(String),
+    RetryRefused(String),
 }
 
 impl CallerEvent {
@@ -94,7 +94,7 @@
         match self {
             Self::Call => 39,
             Self::DuplicateCall(..) => 40,
-            Self::Repeat(..) => 41,
+            Self::RetryRefused(..) => 41,
         }
     }
 }
