--- a/testing/fleet/src/history/register.rs
+++ b/testing/fleet/src/history/register.rs
@@ -116,7 +116,7 @@
     /// Narrows the intervals by readings and refusals, and adds the anomalies that result.
     fn find_anomalies(mut self, anomalies: &mut Vec<Anomaly>) {
         self.bound_by_readings();
-        self.order_earliest();
+        self.propagate_earliest();
         let history = self.history;
         let refusals = history.attempts.iter().filter_map(|attempt| {
             let (received_at, answer) = attempt.answer?;
@@ -133,7 +133,7 @@
                 anomalies.push(anomaly);
             }
         }
-        self.order_earliest();
+        self.propagate_earliest();
         for (version, interval) in self.chain.iter().zip(&self.intervals) {
             if interval.earliest > interval.latest {
                 anomalies.push(Anomaly::NotCurrent {
@@ -192,7 +192,7 @@
     }
 
     /// Raises the lower bounds so that each version becomes current after its predecessor.
-    fn order_earliest(&mut self) {
+    fn propagate_earliest(&mut self) {
         let mut earliest = MonotonicTime::ZERO;
         for interval in &mut self.intervals {
             interval.raise_earliest(earliest);
