--- a/testing/fleet/src/sim/answer_shares.rs
+++ b/testing/fleet/src/sim/answer_shares.rs
@@ -6,7 +6,8 @@
 
 /// The length of the spans by which calls are grouped.
 const SPAN: Duration = Duration::from_millis(500);
-/// The number of spans in which calls are counted.
+/// The number of spans in which calls are counted. With the default settling time of 20 s, they end 3 s before the
+/// run does, which is the longest time that an ordinary caller waits.
 const COUNTED_SPANS: usize = 34;
 /// The number of spans in a second.
 const SPANS_PER_SECOND: usize = 2;
