--- a/testing/fleet/src/sim/bootstrap.rs
+++ b/testing/fleet/src/sim/bootstrap.rs
@@ -13,6 +13,11 @@
 use controlplane::consensus::PersistedState;
 use std::time::Duration;
 
+/// Machines' clocks are ahead of virtual time by less than this.
+const CLOCK_LEAD_LIMIT_SECONDS: u64 = 100_000;
+/// The largest drift of a machine's clock, fast or slow; the rates of two clocks differ by less than a tenth.
+const MAX_DRIFT_THOUSANDTHS: i64 = 45;
+
 impl Simulation {
     /// Creates and starts the controllers. Those that bootstrap the quorum have already accepted the first document.
     pub(super) fn create_controllers(&mut self, ids: &[ControllerId]) {
@@ -83,12 +88,13 @@
 
     /// Draws by how much a machine's clock is ahead of virtual time.
     fn random_clock_lead(&mut self) -> Duration {
-        Duration::from_secs(self.rng.below(100_000))
+        Duration::from_secs(self.rng.below(CLOCK_LEAD_LIMIT_SECONDS))
     }
 
-    /// Draws the drift of a machine's clock in thousandths. The rates of two clocks differ by at most nearly a tenth.
+    /// Draws the drift of a machine's clock in thousandths.
     fn random_drift(&mut self) -> i64 {
-        self.rng.below(91) as i64 - 45
+        let drift_count = 2 * MAX_DRIFT_THOUSANDTHS as u64 + 1;
+        self.rng.below(drift_count) as i64 - MAX_DRIFT_THOUSANDTHS
     }
 }
 
