--- a/testing/fleet/src/sim/calls.rs
+++ b/testing/fleet/src/sim/calls.rs
@@ -10,6 +10,8 @@
 const LONGEST_TIMEOUT: Duration = Duration::from_millis(3000);
 /// How much longer patient callers wait, which makes their timeouts exceed the grace period of a graceful shutdown.
 const PATIENCE: Duration = Duration::from_millis(6000);
+/// The share of refusals after which a retrying caller sends the request again.
+const RETRY_SHARE: f64 = 0.7;
 
 impl Simulation {
     /// Counts a call if it is made after all faults were undone, to measure when the fleet serves again.
@@ -22,13 +24,15 @@
         self.answer_shares.record_call(after, idempotency_key);
     }
 
-    /// Handles a refusal at a caller: while callers retry, it soon repeats the request through another ingress, marked
-    /// as a retry.
+    /// Handles a refusal at a caller: while callers retry, it usually sends the request again soon, through a random
+    /// ingress and marked as a retry.
     pub(super) fn handle_refusal(&mut self, request: &FunctionRequest) {
-        if self.faults.are_callers_retrying(self.queue.now()) && self.rng.random_bool(0.7) {
+        if self.faults.are_callers_retrying(self.queue.now()) && self.rng.random_bool(RETRY_SHARE) {
             let retry_after = self.rng.within(Duration::ZERO, Duration::from_millis(40));
-            self.queue
-                .push(retry_after, CallerEvent::RetryRefused(request.route.clone()));
+            self.queue.push(
+                retry_after,
+                CallerEvent::RetryRefused(request.route.clone()),
+            );
         }
     }
 
@@ -55,7 +59,7 @@
     }
 
     /// Draws how long a caller waits, which is at least the given time.
-    fn drawn_timeout(&mut self, shortest: Duration) -> Duration {
+    fn random_timeout(&mut self, shortest: Duration) -> Duration {
         let timeout = self.rng.within(shortest, LONGEST_TIMEOUT);
         if self.plan.patient_callers {
             timeout + PATIENCE
@@ -64,9 +68,10 @@
         }
     }
 
+    /// Sends a request by this route with a new idempotency key.
     pub(super) fn send_call(&mut self, route_name: &'static str) {
         let idempotency_key = IdempotencyKey::from(format!("t{}", self.numbers.next()));
-        let timeout = self.drawn_timeout(Duration::from_millis(1000));
+        let timeout = self.random_timeout(Duration::from_millis(1000));
         if let Some(index) = self.random_ingress() {
             self.call(index, idempotency_key, route_name, timeout, false);
         }
@@ -81,7 +86,7 @@
             "f0", "f0", "f1", "f1", "f2", "f3", "f4", "f5", "canary", "canary",
         ];
         let route_name = routes[self.rng.below(routes.len() as u64) as usize];
-        let timeout = self.drawn_timeout(Duration::from_millis(500));
+        let timeout = self.random_timeout(Duration::from_millis(500));
         let is_duplicate = self.rng.random_bool(self.plan.duplicate_share);
         let duplicate_after = self.rng.within(Duration::ZERO, Duration::from_millis(2900));
         let Some(index) = self.random_ingress() else {
@@ -99,8 +104,8 @@
         self.call(index, idempotency_key, route_name, timeout, false);
     }
 
-    /// Sends a request again with the same idempotency key, through another ingress. It may be refused and must not
-    /// run twice.
+    /// Sends a request again with the same idempotency key, through a random ingress. It may be refused, and a request
+    /// that may run only once must not run twice.
     pub(super) fn send_duplicate_call(
         &mut self,
         idempotency_key: IdempotencyKey,
