--- a/testing/fleet/src/sim/checks/control.rs
+++ b/testing/fleet/src/sim/checks/control.rs
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Checks that a daemon installs a committed spec.
+    /// Checks that a daemon installs a committed spec, and none that is older than its installed one.
     pub fn check_installed(
         &mut self,
         at: MonotonicTime,
