--- a/testing/fleet/src/sim/checks/mod.rs
+++ b/testing/fleet/src/sim/checks/mod.rs
@@ -28,6 +28,10 @@
 const FIRST_ATTEMPT_SLACK: Duration = Duration::from_secs(3);
 /// The number of retries in a window that are allowed regardless of the number of first attempts.
 const ALWAYS_ALLOWED_RETRIES: usize = 3;
+/// The number of first attempts in a window that allow one more retry.
+const FIRST_ATTEMPTS_PER_RETRY: usize = 5;
+/// Seconds with fewer calls than this are not checked for recovery.
+const MIN_CALLS_PER_CHECKED_SECOND: u64 = 10;
 
 /// A violation of a safety property.
 #[derive(Clone, Debug)]
@@ -44,9 +48,11 @@
     }
 }
 
+/// A committed version that changes what daemons see.
 struct CommittedVersion {
     at: MonotonicTime,
     content: Value,
+    /// The function of each route, by the name of the route.
     routes: BTreeMap<String, FunctionName>,
 }
 
@@ -55,10 +61,13 @@
 struct RequestRecord {
     route: String,
     once: bool,
-    repeat: bool,
+    /// Whether its caller marked it as a retry of a refused request.
+    is_caller_retry: bool,
     runs: u32,
+    /// The bodies of the runners' answers to it.
     bodies: Vec<Vec<u8>>,
     refused: bool,
+    /// Whether its idempotency key is sent twice.
     is_duplicate: bool,
 }
 
@@ -76,28 +85,40 @@
     pub violations: Vec<SafetyViolation>,
     /// The number of cases of each check.
     pub checked: BTreeMap<&'static str, u64>,
+    /// The content of all committed versions.
     committed_content: BTreeMap<Version, Value>,
+    /// The committed versions that change what daemons see.
     committed: BTreeMap<Version, CommittedVersion>,
+    /// The lowest and the highest version that was committed in each term.
     term_versions: BTreeMap<Term, (Version, Version)>,
+    /// The change that was accepted on each base version.
     accepted_by_base: BTreeMap<Version, ChangeId>,
     requests: HashMap<IdempotencyKey, RequestRecord>,
     attempts: BTreeMap<FunctionKey, AttemptWindow>,
+    /// The last version that each incarnation of a daemon installed.
     installed: HashMap<(usize, u64), Version>,
+    /// All leases that have been granted.
     granted: BTreeSet<FencingToken>,
     evacuated_since: BTreeMap<Zone, MonotonicTime>,
+    /// When it was last recorded that no leader can handle drains and evacuations.
     control_outage_at: MonotonicTime,
+    /// The reported cases of a daemon that serves with a version older than the given one, which was due.
     served_late: BTreeSet<(usize, Version)>,
+    /// The requests that were refused under each lease.
     refused_under: HashSet<(FencingToken, IdempotencyKey)>,
     /// The last lease under which each adopted runner instance was adopted.
     adopted_by: HashMap<InstanceId, (FunctionKey, FencingToken)>,
+    /// The daemon and the lease that last sent to each runner instance.
     sent_by: HashMap<InstanceId, (usize, FencingToken)>,
+    /// The instances that were already reported as used by two lease holders.
     shared_instances: HashSet<InstanceId>,
 }
 
+/// Returns the content of a document without its term, because a later leader may commit the version again in its own.
 fn content_of(document: &Document) -> Value {
-    let mut plain_document = document.clone();
-    plain_document.document_version.term = Term(0);
-    serde_json::from_slice(&plain_document.to_bytes()).unwrap_or(Value::Null)
+    let mut document_without_term = document.clone();
+    document_without_term.document_version.term = Term(0);
+    serde_json::from_slice(&document_without_term.to_bytes()).unwrap_or(Value::Null)
 }
 
 impl SafetyChecks {
@@ -221,13 +242,13 @@
         idempotency_key: &IdempotencyKey,
         route: &str,
         once: bool,
-        repeat: bool,
+        is_caller_retry: bool,
     ) {
         let request_record = self.requests.entry(idempotency_key.clone()).or_default();
         request_record.route = route.to_owned();
         request_record.once = once;
-        request_record.repeat = repeat;
-        if !repeat {
+        request_record.is_caller_retry = is_caller_retry;
+        if !is_caller_retry {
             self.attempts
                 .entry(function.clone())
                 .or_default()
@@ -248,7 +269,7 @@
             .push_back(at);
     }
 
-    /// Records that the same idempotency key will be sent again through another ingress.
+    /// Records that the same idempotency key will be sent again, usually through another ingress.
     pub fn mark_duplicate(&mut self, idempotency_key: &IdempotencyKey) {
         self.requests
             .entry(idempotency_key.clone())
@@ -284,7 +305,7 @@
         );
         let (route, is_retry) = (
             request_record.route.clone(),
-            attempt > 1 || request_record.repeat,
+            attempt > 1 || request_record.is_caller_retry,
         );
         if once && run_count > 1 {
             self.report_violation(
@@ -337,16 +358,16 @@
         {
             attempts.retries.pop_front();
         }
-        let first_span = RETRY_WINDOW + FIRST_ATTEMPT_SLACK;
+        let first_attempt_window = RETRY_WINDOW + FIRST_ATTEMPT_SLACK;
         while attempts
             .first_attempts
             .front()
-            .is_some_and(|earlier| at.since(*earlier) > first_span)
+            .is_some_and(|earlier| at.since(*earlier) > first_attempt_window)
         {
             attempts.first_attempts.pop_front();
         }
         let (first_attempts, retries) = (attempts.first_attempts.len(), attempts.retries.len());
-        if retries > first_attempts / 5 + ALWAYS_ALLOWED_RETRIES {
+        if retries > first_attempts / FIRST_ATTEMPTS_PER_RETRY + ALWAYS_ALLOWED_RETRIES {
             let what = format!(
                 "{idempotency_key} is extra try {retries} of {function} to {first_attempts} first attempts in 10 s"
             );
@@ -354,7 +375,8 @@
         }
     }
 
-    /// Checks the number of concurrent requests on a runner against its slots and its ramp-up.
+    /// Checks the number of concurrent requests on a runner: none before it is ready, at most its slots, and at most
+    /// one more than the number of its answers so far, for the slow start.
     pub fn check_slots(
         &mut self,
         at: MonotonicTime,
@@ -498,7 +520,7 @@
         }
     }
 
-    /// Checks that a runner has had a request that a stopping daemon ends as unknown just before it exits.
+    /// Checks a request that a stopping daemon ends as unknown just before it exits: it must have started to run.
     pub fn check_not_left_waiting(
         &mut self,
         at: MonotonicTime,
@@ -592,7 +614,7 @@
         calls: u64,
         answers: u64,
     ) {
-        if calls < 10 {
+        if calls < MIN_CALLS_PER_CHECKED_SECOND {
             return;
         }
         self.count_check("second after the return");
