--- a/testing/fleet/src/sim/event/environment.rs
+++ b/testing/fleet/src/sim/event/environment.rs
@@ -52,7 +52,7 @@
 pub(in crate::sim) enum OperatorEvent {
     /// An operator's wait for a reply times out.
     ClientTimedOut(OperationTicket),
-    /// An operator sends a command again.
+    /// An operator sends the command with this number again.
     Resend(u64),
     /// An operator reads the configuration.
     Read,
@@ -82,9 +82,9 @@
 pub(in crate::sim) enum CallerEvent {
     /// A caller sends a request.
     Call,
-    /// A caller sends a request again with the same idempotency key.
+    /// A caller sends a request again with the same idempotency key, to the route with this name.
     DuplicateCall(IdempotencyKey, &'static str),
-    /// A caller repeats a refused request.
+    /// A caller sends a refused request to this route again, with a new idempotency key.
     RetryRefused(String),
 }
 
