--- a/testing/fleet/src/sim/faults.rs
+++ b/testing/fleet/src/sim/faults.rs
@@ -9,6 +9,13 @@
 use std::fmt;
 use std::time::Duration;
 
+/// The number of requests in a burst for one function.
+const CALL_BURST_SIZE: u32 = 60;
+/// The number of requests for each function in a burst of rare requests.
+const RARE_CALL_BURST_SIZE: u32 = 4;
+/// The number of times that operators send changes in a burst.
+const CHANGE_BURST_SIZE: u32 = 8;
+
 /// A kind of fault that the simulator injects.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SimFault {
@@ -254,7 +261,9 @@
             SimFault::RunnerFaults => self.start_runner_faults(duration),
             SimFault::CallBurst => self.send_call_burst(),
             SimFault::RareCallBurst => self.send_rare_call_burst(),
-            SimFault::ClientRetries => self.faults.start_caller_retries(self.queue.now() + duration),
+            SimFault::ClientRetries => self
+                .faults
+                .start_caller_retries(self.queue.now() + duration),
             SimFault::DelayedList => self.delay_lists(duration),
             SimFault::ChangeBurst => self.send_change_burst(),
         }
@@ -471,13 +480,13 @@
     fn send_call_burst(&mut self) {
         let routes = ["f0", "f1", "canary"];
         let route = routes[self.rng.below(routes.len() as u64) as usize];
-        for _ in 0..60 {
+        for _ in 0..CALL_BURST_SIZE {
             self.send_call(route);
         }
     }
 
     fn send_rare_call_burst(&mut self) {
-        for _ in 0..4 {
+        for _ in 0..RARE_CALL_BURST_SIZE {
             for route in ["f0", "f1", "f2", "f3", "f4", "f5"] {
                 self.send_call(route);
             }
@@ -485,7 +494,7 @@
     }
 
     fn send_change_burst(&mut self) {
-        for _ in 0..8 {
+        for _ in 0..CHANGE_BURST_SIZE {
             self.send_change();
         }
     }
