--- a/testing/fleet/src/sim/operator.rs
+++ b/testing/fleet/src/sim/operator.rs
@@ -10,9 +10,18 @@
 use serde_json::{Value, json};
 use std::collections::HashMap;
 
+/// The share of cases in which two concurrent changes are sent instead of one.
+const CONCURRENT_CHANGES_SHARE: f64 = 0.3;
+/// The share of changes that are invalid.
+const INVALID_SHARE: f64 = 0.1;
+/// The share of changes that are sent as a patch of one route instead of the complete spec.
+const PATCH_SHARE: f64 = 0.2;
+/// The maximum number of times that a change is sent, counting those that follow a redirect.
+const MAX_ATTEMPTS: u32 = 3;
+
 /// An operator's change in flight.
 struct PendingChange {
-    change: ChangeId,
+    id: ChangeId,
     base: Option<Version>,
     kind: ChangeKind,
     attempts: u32,
@@ -27,17 +36,17 @@
 
 impl PendingChanges {
     /// Records a change that is sent with this ticket.
-    fn begin(&mut self, ticket: OperationTicket, change: PendingChange) {
+    fn record_sent(&mut self, ticket: OperationTicket, change: PendingChange) {
         self.in_flight.insert(ticket, change);
     }
 
     /// Removes and returns the change that was sent with this ticket.
-    fn end(&mut self, ticket: OperationTicket) -> Option<PendingChange> {
+    fn take_sent(&mut self, ticket: OperationTicket) -> Option<PendingChange> {
         self.in_flight.remove(&ticket)
     }
 
     /// Records a refused change, which must not be committed later.
-    fn refuse(&mut self, change: ChangeId) {
+    fn record_refused(&mut self, change: ChangeId) {
         self.refused.push(change);
     }
 
@@ -128,12 +137,12 @@
             }
             return;
         }
-        let change = ChangeId::from(format!("change-{}", self.numbers.next()));
+        let id = ChangeId::from(format!("change-{}", self.numbers.next()));
         let target = self.rng.below(3) as usize;
         self.send_pending_change(
             target,
             PendingChange {
-                change,
+                id,
                 base,
                 kind,
                 attempts: 0,
@@ -148,15 +157,19 @@
             return;
         }
         let newest_version = self.checks.newest_version();
-        let count = if self.rng.random_bool(0.3) { 2 } else { 1 };
+        let count = if self.rng.random_bool(CONCURRENT_CHANGES_SHARE) {
+            2
+        } else {
+            1
+        };
         for _ in 0..count {
-            let is_valid = !self.rng.random_bool(0.1);
+            let is_valid = !self.rng.random_bool(INVALID_SHARE);
             let variant = self.rng.below(6);
             let mut new_spec = planned_spec(&self.plan, variant);
             if !is_valid {
                 new_spec["routes"]["canary"]["function"] = json!("nowhere");
             }
-            let kind = if self.rng.random_bool(0.2) {
+            let kind = if self.rng.random_bool(PATCH_SHARE) {
                 ChangeKind::Patch(json!({"routes": {"canary": new_spec["routes"]["canary"]}}))
             } else {
                 ChangeKind::FullSpec(new_spec.into())
@@ -171,11 +184,11 @@
         let operation = Operation::Change(ChangeRequest {
             base: change.base,
             numbering: None,
-            change: Some(change.change.clone()),
+            change: Some(change.id.clone()),
             kind: change.kind.clone(),
             wait: Wait::Accepted,
         });
-        self.changes.begin(ticket, change);
+        self.changes.record_sent(ticket, change);
         let node = self.nodes.controller(target).node;
         let delay = self.network.delay(&mut self.rng);
         self.queue.push(
@@ -184,6 +197,7 @@
         );
     }
 
+    /// Handles a controller's reply to an operator: follows a redirect, or checks the change's outcome.
     pub(super) fn handle_operation_reply(
         &mut self,
         ticket: OperationTicket,
@@ -193,13 +207,13 @@
             self.handle_command_reply(ticket, reply);
             return;
         }
-        let Some(change) = self.changes.end(ticket) else {
+        let Some(change) = self.changes.take_sent(ticket) else {
             return;
         };
         match reply {
             OperationReply::Redirect(leader) => {
                 let target = self.nodes.node_at(leader).map(|node| node.0);
-                if let Some(target) = target.filter(|_| change.attempts < 3) {
+                if let Some(target) = target.filter(|_| change.attempts < MAX_ATTEMPTS) {
                     self.send_pending_change(target, change);
                 }
             }
@@ -208,16 +222,12 @@
                 let state = body["state"].as_str().unwrap_or("");
                 if status == 200 && matches!(state, "accepted" | "in_force") {
                     let version = Version(body["serial"].as_u64().unwrap_or(0));
-                    self.checks.check_accepted(
-                        self.queue.now(),
-                        &change.change,
-                        change.base,
-                        version,
-                    );
+                    self.checks
+                        .check_accepted(self.queue.now(), &change.id, change.base, version);
                 } else if state == "not_accepted" && change.attempts == 1 {
-                    self.changes.refuse(change.change.clone());
+                    self.changes.record_refused(change.id.clone());
                     self.checks
-                        .check_change_refused(self.queue.now(), &change.change);
+                        .check_change_refused(self.queue.now(), &change.id);
                 }
                 self.record.count_event(if status == 200 {
                     "change accepted"
