--- a/testing/fleet/src/sim/orders.rs
+++ b/testing/fleet/src/sim/orders.rs
@@ -19,6 +19,10 @@
 
 /// The maximum number of commands in flight.
 const MAX_COMMANDS_IN_FLIGHT: usize = 8;
+/// The share of cases in which two concurrent changes are sent instead of one.
+const CONCURRENT_CHANGES_SHARE: f64 = 0.4;
+/// The share of cases in which concurrent changes have the same number.
+const SAME_NUMBER_SHARE: f64 = 0.6;
 /// How long an operator waits for a reply.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(1000);
 const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
@@ -31,11 +35,11 @@
 const LOST_REQUEST_SHARE: f64 = 0.03;
 const LOST_ANSWER_SHARE: f64 = 0.15;
 const LATE_REQUEST_SHARE: f64 = 0.04;
-const MAX_DELAY: Duration = Duration::from_secs(10);
+const MAX_LATE_REQUEST_DELAY: Duration = Duration::from_secs(10);
 /// Zone orders, which have no version number, are delayed more often and for longer than other commands.
-const LATE_ZONE_SHARE: f64 = 0.3;
-const MAX_ZONE_DELAY: Duration = Duration::from_secs(20);
-/// The longest time after the last bytes of a request until the controller notices that the caller closed the
+const LATE_ZONE_ORDER_SHARE: f64 = 0.3;
+const MAX_LATE_ZONE_ORDER_DELAY: Duration = Duration::from_secs(20);
+/// The longest time after the last bytes of a request until the controller notices that the operator closed the
 /// connection.
 const MAX_DISCONNECT_DELAY: Duration = Duration::from_millis(8);
 
@@ -90,7 +94,8 @@
 }
 
 impl Operators {
-    fn learn_number(&mut self, number: u64) {
+    /// Adds a number to the known version numbers, which are sorted.
+    fn add_known_number(&mut self, number: u64) {
         if let Err(index) = self.known_numbers.binary_search(&number) {
             self.known_numbers.insert(index, number);
         }
@@ -102,8 +107,12 @@
     pub(super) fn send_orders(&mut self) {
         let base = generate_base(&mut self.rng, &self.operators.known_numbers);
         let number = generate_number(&mut self.rng, base);
-        let order_count = if self.rng.random_bool(0.4) { 2 } else { 1 };
-        let shares_number = self.rng.random_bool(0.6);
+        let order_count = if self.rng.random_bool(CONCURRENT_CHANGES_SHARE) {
+            2
+        } else {
+            1
+        };
+        let shares_number = self.rng.random_bool(SAME_NUMBER_SHARE);
         for _ in 0..order_count {
             if self.operators.commands.len() >= MAX_COMMANDS_IN_FLIGHT {
                 return;
@@ -232,8 +241,10 @@
 
     fn request_delay(&mut self, command_kind: CommandKind) -> Duration {
         let (late_share, max_delay) = match command_kind {
-            CommandKind::Zone(_) => (LATE_ZONE_SHARE, MAX_ZONE_DELAY),
-            CommandKind::Change(_) | CommandKind::Read => (LATE_REQUEST_SHARE, MAX_DELAY),
+            CommandKind::Zone(_) => (LATE_ZONE_ORDER_SHARE, MAX_LATE_ZONE_ORDER_DELAY),
+            CommandKind::Change(_) | CommandKind::Read => {
+                (LATE_REQUEST_SHARE, MAX_LATE_REQUEST_DELAY)
+            }
         };
         if self.rng.random_bool(late_share) {
             self.rng.within(Duration::from_millis(100), max_delay)
@@ -335,7 +346,7 @@
     }
 
     fn record_reading(&mut self, sent: &SentRequest, document: &Document) {
-        self.operators.learn_number(document.number);
+        self.operators.add_known_number(document.number);
         let evacuated = document
             .evacuated
             .iter()
@@ -367,7 +378,7 @@
                 self.checks
                     .check_accepted(self.queue.now(), &change, None, version);
                 if let Some(numbering) = numbering {
-                    self.operators.learn_number(numbering.number);
+                    self.operators.add_known_number(numbering.number);
                 }
                 Answer::Acknowledged
             }
@@ -399,6 +410,7 @@
         }
     }
 
+    /// Removes a command that was answered definitely, and counts its outcome under the label.
     fn end_command(&mut self, number: u64, label: &str) {
         self.operators.commands.remove(&number);
         self.record.count_event(label);
