--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -110,11 +110,11 @@
 pub struct SimResult {
     /// The violations that were found.
     pub violations: Vec<SafetyViolation>,
-    /// The number of requests and changes by outcome.
+    /// How often each labelled event happened: requests and changes by outcome, faults by kind, and others.
     pub counts: BTreeMap<String, u64>,
     /// How often each check was performed.
     pub checked: BTreeMap<&'static str, u64>,
-    /// The share of requests that were answered, from 12 s after all faults were undone.
+    /// The share of answered requests among those made from 12 s after all faults were undone.
     pub settled_answer_share: f64,
     /// The time from when all faults were undone until at least half of the calls were answered again.
     pub recovered_after: Duration,
