--- a/testing/fleet/src/sim/recovery.rs
+++ b/testing/fleet/src/sim/recovery.rs
@@ -1,5 +1,4 @@
-//! The time from the loss of a controller to the next acknowledged order and the next renewed
-//! session leases.
+//! The time from the loss of a controller to the next acknowledged order and the next renewed session leases.
 
 use super::plan::SimPlan;
 use super::script::{Action, Loss, Target};
@@ -121,11 +120,15 @@
 const EARLIEST_LOSS_AT: Duration = Duration::from_secs(5);
 const MEASUREMENT_DURATION: Duration = Duration::from_secs(10);
 const ORDER_INTERVAL: Duration = Duration::from_millis(40);
+/// A prime, so that the losses of successive seeds are spread over [`LOSS_JITTER_MS`].
+const LOSS_JITTER_FACTOR: u64 = 7919;
+/// The range of times after [`EARLIEST_LOSS_AT`] at which the loss happens.
+const LOSS_JITTER_MS: u64 = 1000;
 
 impl SingleLoss {
     /// Returns the plan of a run with this seed: the loss, and orders in quick succession after it.
     pub fn plan(&self, seed: u64, controllers: usize, voters: usize) -> SimPlan {
-        let jitter = Duration::from_millis(seed.wrapping_mul(7919) % 1000);
+        let jitter = Duration::from_millis(seed.wrapping_mul(LOSS_JITTER_FACTOR) % LOSS_JITTER_MS);
         let loss_at = EARLIEST_LOSS_AT + jitter;
         let mut script = vec![
             (loss_at, Action::Lose(self.target, self.loss)),
