--- a/testing/fleet/src/sim/scenario/many_changes.rs
+++ b/testing/fleet/src/sim/scenario/many_changes.rs
@@ -12,6 +12,8 @@
 const READ_INTERVAL: Duration = Duration::from_millis(300);
 /// The number of additional functions that make the configuration large.
 const ADDITIONAL_FUNCTIONS: u64 = 24;
+/// How often the first acknowledged order is sent again right after the changes, and after the faults.
+const RESEND_COUNT: u32 = 4;
 
 /// How a voter misses changes.
 #[derive(Clone, Copy)]
@@ -23,7 +25,7 @@
     /// It returns after half of them, with an empty disk.
     Wiped,
     /// It returns after all of them, and the leader is lost shortly afterwards.
-    ElectedOnReturn,
+    LeaderLostOnReturn,
 }
 
 /// Returns the plan of a run with this seed.
@@ -42,17 +44,17 @@
         AbsenceKind::AllChanges,
         AbsenceKind::HalfOfChanges,
         AbsenceKind::Wiped,
-        AbsenceKind::ElectedOnReturn,
+        AbsenceKind::LeaderLostOnReturn,
     ]);
     let (loss, returns_at) = match absence_kind {
-        AbsenceKind::AllChanges | AbsenceKind::ElectedOnReturn => (Loss::PowerLost, changes_end),
+        AbsenceKind::AllChanges | AbsenceKind::LeaderLostOnReturn => (Loss::PowerLost, changes_end),
         AbsenceKind::HalfOfChanges => (Loss::PowerLost, midpoint),
         AbsenceKind::Wiped => (Loss::Wiped, midpoint),
     };
     script.at(FIRST_CHANGE_AT, Action::Lose(Target::Follower, loss));
     script.at(returns_at, Action::Restart);
     let fault_duration = changes_end + Duration::from_secs(2);
-    if matches!(absence_kind, AbsenceKind::ElectedOnReturn) {
+    if matches!(absence_kind, AbsenceKind::LeaderLostOnReturn) {
         let leader_loss_delay = script
             .rng
             .within(Duration::ZERO, Duration::from_millis(400));
@@ -64,7 +66,7 @@
     script.repeat(FIRST_CHANGE_AT, changes_end, READ_INTERVAL, |_| {
         Action::Read(Target::Any)
     });
-    for index in 0..4 {
+    for index in 0..RESEND_COUNT {
         script.at(
             changes_end + Duration::from_millis(500) * index,
             Action::ResendFirst,
