--- a/testing/fleet/src/sim/scenario/mod.rs
+++ b/testing/fleet/src/sim/scenario/mod.rs
@@ -71,8 +71,10 @@
 
 /// How long a scripted run continues after its faults.
 const SETTLING_TIME: Duration = Duration::from_secs(14);
-/// The mean interval of operators' reads and changes after the faults.
+/// The mean interval of operators' reads, and that of their changes, after the faults.
 const SETTLING_INTERVAL: Duration = Duration::from_millis(700);
+/// Combined with the seed of a run, so that the script's random numbers differ from those of the simulation.
+const SCRIPT_SEED_SALT: u64 = 0x5c71;
 
 impl Scenario {
     /// All scenarios.
@@ -122,16 +124,17 @@
 impl ScriptBuilder {
     fn seeded(seed: u64) -> Self {
         Self {
-            rng: SeededRng::seeded(seed ^ 0x5c71),
+            rng: SeededRng::seeded(seed ^ SCRIPT_SEED_SALT),
             actions: Vec::new(),
         }
     }
 
+    /// Adds an action that is due this long after the start of the run.
     fn at(&mut self, due_after: Duration, action: Action) {
         self.actions.push((due_after, action));
     }
 
-    /// Adds actions at random intervals with this mean.
+    /// Adds actions between two times since the start of the run, at random intervals with this mean.
     fn repeat(
         &mut self,
         from: Duration,
@@ -147,6 +150,7 @@
         }
     }
 
+    /// Chooses one of these values at random; values that are listed twice are chosen twice as often.
     fn one_of<T: Copy>(&mut self, choices: &[T]) -> T {
         choices[self.rng.below(choices.len() as u64) as usize]
     }
