--- a/testing/fleet/src/sim/scenario/second_loss.rs
+++ b/testing/fleet/src/sim/scenario/second_loss.rs
@@ -63,13 +63,15 @@
 const COUNTING_DURATION: Duration = Duration::from_secs(6);
 /// The highest step that a seed chooses for the second loss.
 const MAX_SEEDED_STEP: u64 = 600;
+/// Combined with the seed of a run, so that the random numbers of the case differ from those of its script.
+const CASE_SEED_SALT: u64 = 0x2d105;
 const CHANGE_INTERVAL: Duration = Duration::from_millis(250);
 const READ_INTERVAL: Duration = Duration::from_millis(400);
 
 impl SecondLossCase {
     /// Returns the case for this seed.
     pub fn seeded(seed: u64) -> Self {
-        let mut rng = SeededRng::seeded(seed ^ 0x2d105);
+        let mut rng = SeededRng::seeded(seed ^ CASE_SEED_SALT);
         let size = QuorumSize::of_seed(seed);
         let repair = Repair::ALL[rng.below(Repair::ALL.len() as u64) as usize];
         let targets = [Target::Leader, Target::Follower, Target::Victim];
@@ -161,7 +163,7 @@
         returns_at
     }
 
-    /// Returns the number of steps of the control plane in this case without its second loss.
+    /// Runs this case without its second loss, and returns the number of counted steps of the control plane.
     pub fn steps(&self, seed: u64) -> u64 {
         let case_without_loss = Self {
             second: None,
