--- a/testing/fleet/src/sim/script.rs
+++ b/testing/fleet/src/sim/script.rs
@@ -282,7 +282,8 @@
         }
     }
 
-    /// Schedules the power losses if the script asked for them after the next acknowledgement.
+    /// Schedules the power losses that [`Action::PowerLossAfterAcknowledgement`] requested, if any; called at an
+    /// acknowledgement.
     pub(super) fn schedule_requested_power_losses(&mut self) {
         if std::mem::take(&mut self.script.loses_power_on_next_acknowledgement) {
             let first_delay = self.rng.within(Duration::ZERO, Duration::from_millis(5));
