--- a/testing/fleet/tests/history.rs
+++ b/testing/fleet/tests/history.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Builds a history with short methods for recording.
+/// Builds a history with short methods for recording. All times are in milliseconds.
 #[derive(Default)]
 struct HistoryBuilder(History);
 
@@ -35,11 +35,13 @@
         self.0.record_order(replacement(number, base, label))
     }
 
+    /// Records an attempt to send an order, and its answer.
     fn sent(&mut self, from: u64, to: u64, order: OrderId, answer: Answer) {
         let attempt = self.0.record_attempt(at(from), order);
         self.0.record_answer(at(to), attempt, answer);
     }
 
+    /// Records an attempt to send an order whose answer is lost.
     fn lost(&mut self, from: u64, order: OrderId) -> AttemptId {
         self.0.record_attempt(at(from), order)
     }
@@ -358,7 +360,9 @@
     let restoration = builder.0.record_zone_order(at(10), "z", false);
     builder.read_zones(11, 12, 0, 0, &["z"]);
     builder.read_zones(11, 12, 0, 0, &[]);
-    builder.0.record_zone_order_acknowledged(at(15), restoration);
+    builder
+        .0
+        .record_zone_order_acknowledged(at(15), restoration);
     builder.read_zones(20, 21, 0, 0, &[]);
     builder.verify_explained()?;
     builder.read_zones(22, 23, 0, 0, &["z"]);
@@ -387,7 +391,9 @@
     builder.read_zones(62, 63, 0, 0, &[]);
     builder.verify_explained()?;
     let restoration = builder.0.record_zone_order(at(70), "z", false);
-    builder.0.record_zone_order_acknowledged(at(75), restoration);
+    builder
+        .0
+        .record_zone_order_acknowledged(at(75), restoration);
     builder.read_zones(80, 81, 0, 0, &["z"]);
     let late = Anomaly::ZoneUnexplained {
         zone: "z".to_owned(),
