--- a/testing/fleet/tests/invariants.rs
+++ b/testing/fleet/tests/invariants.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// The number of seeds within which each violation must be found.
-const SEEDS: u64 = 12;
+const MAX_SEEDS: u64 = 12;
 
 struct Case {
     invariant: Invariant,
@@ -28,7 +28,7 @@
 /// The invariants whose violation random faults detect. `spec-never-older` has its own test in
 /// `crates/dataplane/tests/agent/spec_versions.rs`, `commit-never-lost` in
 /// `crates/controlplane/tests/quorum_proofs.rs`, and `sent-under-lease` another one in
-/// `platform/tests/connections/last_look.rs`.
+/// `platform/tests/connections/pre_send_check.rs`.
 const CASES: &[Case] = &[
     case(
         Invariant::SlotsRespected,
@@ -107,7 +107,7 @@
 #[gtest]
 fn each_invariant_is_found_violated_without_the_rule_behind_it() -> Result<()> {
     for case in CASES {
-        let found_by = (1..=SEEDS).find(|seed| is_detected(case, *seed));
+        let found_by = (1..=MAX_SEEDS).find(|seed| is_detected(case, *seed));
         println!("{} by {}: seed {found_by:?}", case.invariant, case.flaw);
         verify_that!(found_by, some(anything()))
             .with_failure_message(|| format!("{} by {}", case.invariant, case.flaw))?;
