--- a/testing/fleet/tests/simulator.rs
+++ b/testing/fleet/tests/simulator.rs
@@ -74,9 +74,9 @@
     }
 }
 
-/// Functions that are held in two regions violate no safety check, and callers are served under both keys. With seeds
-/// 3 and 5 a runner used to get more requests than it has slots; with the last four, its key was not known after a
-/// failover.
+/// Functions that are held in two regions violate no safety check, and callers are served under both keys. Seeds 3
+/// and 5 guard against a runner that gets more requests than it has slots, the last four against a runner whose key is
+/// not known after a failover.
 #[gtest]
 fn regional_keys_violate_no_safety_check_and_serve() -> Result<()> {
     let mut served_count = 0;
@@ -185,8 +185,8 @@
     Ok(())
 }
 
-/// Messages to a lease holder that are lost with their stream must be sent again. Each of these seeds failed when they
-/// were not.
+/// Messages to a lease holder that are lost with their stream must be sent again: if they are not, each of these seeds
+/// has a violation.
 #[gtest]
 fn drains_and_evacuations_survive_the_loss_of_their_stream() -> Result<()> {
     use SimFault::{DrainWorker, Isolation, Partition, RunnerLeaves};
@@ -195,8 +195,8 @@
         (141, vec![DrainWorker, Isolation], 2000),
         (149, vec![RunnerLeaves, Partition], 2000),
     ];
-    for (seed, fault_kinds, gap_ms) in cases {
-        let max_fault_interval = Duration::from_millis(gap_ms);
+    for (seed, fault_kinds, max_interval_ms) in cases {
+        let max_fault_interval = Duration::from_millis(max_interval_ms);
         let plan = SimPlan {
             fault_kinds,
             max_fault_interval,
@@ -207,8 +207,8 @@
     Ok(())
 }
 
-/// Bursts for busy functions take nearly all memory, but a function without a runner must still get one. Recovery took
-/// 11.5 s when functions with several runners did not give one back.
+/// Bursts for busy functions take nearly all memory, but a function without a runner must still get one. Recovery takes
+/// 11.5 s if functions with several runners do not give one back.
 #[gtest]
 fn a_function_without_a_runner_is_not_starved_by_those_that_have_several() -> Result<()> {
     let sim_result = Simulation::new(SimPlan::seeded(39776), false).run();
@@ -219,13 +219,15 @@
 /// Faults of the control plane under which the history of operators is recorded.
 struct HistoryCase {
     fault_kinds: &'static [SimFault],
-    /// The time between two faults.
+    /// The longest time between two faults.
     max_fault_interval: Duration,
-    /// The time between two orders of an operator.
+    /// The longest time between two orders of operators.
     max_order_interval: Duration,
 }
 
+/// The longest time between two orders that are rare.
 const RARE_ORDERS: Duration = Duration::from_millis(3000);
+/// The longest time between two orders of which a run has hundreds.
 const FREQUENT_ORDERS: Duration = Duration::from_millis(150);
 const HISTORY_CASES: [HistoryCase; 4] = [
     HistoryCase {
