--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -356,7 +356,7 @@
         if is_dead {
             self.queue.push(
                 delay,
-                DaemonEvent::Forwarded(node, incarnation, number, ForwardResult::Unsent, 0),
+                DaemonEvent::ForwardEnded(node, incarnation, number, ForwardResult::Unsent, 0),
             );
             return;
         }
@@ -369,13 +369,13 @@
             };
             self.queue.push(
                 failed_after,
-                DaemonEvent::Forwarded(node, incarnation, number, result, 0),
+                DaemonEvent::ForwardEnded(node, incarnation, number, result, 0),
             );
             return;
         }
         self.queue.push(
             wait_span,
-            DaemonEvent::Forwarded(node, incarnation, number, ForwardResult::Lost, 0),
+            DaemonEvent::ForwardEnded(node, incarnation, number, ForwardResult::Lost, 0),
         );
         let reply_target = ReplyTarget::Hop {
             node,
@@ -385,7 +385,7 @@
         let to_incarnation = self.nodes.daemon(to_node.daemon_index()).incarnation;
         self.queue.push(
             delay,
-            DaemonEvent::Hop(to_node, to_incarnation, reply_target, body),
+            DaemonEvent::PeerMessage(to_node, to_incarnation, reply_target, body),
         );
     }
 
@@ -456,7 +456,7 @@
                     let result = ForwardResult::Completed(outcome, holder);
                     self.queue.push(
                         delay,
-                        DaemonEvent::Forwarded(
+                        DaemonEvent::ForwardEnded(
                             reply_node,
                             incarnation,
                             number,
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -97,10 +97,10 @@
             DaemonEvent::AcquireTimedOut(node, _, number) => {
                 self.handle_acquire_timeout(node.daemon_index(), number)
             }
-            DaemonEvent::Hop(node, _, reply_target, body) => {
+            DaemonEvent::PeerMessage(node, _, reply_target, body) => {
                 self.handle_hop(node.daemon_index(), reply_target, body)
             }
-            DaemonEvent::Forwarded(node, _, number, result, regional_delay_deciseconds) => {
+            DaemonEvent::ForwardEnded(node, _, number, result, regional_delay_deciseconds) => {
                 self.finish_forward(
                     node.daemon_index(),
                     number,
@@ -213,7 +213,7 @@
             CallerEvent::DuplicateCall(idempotency_key, route_name) => {
                 self.send_duplicate_call(idempotency_key, route_name)
             }
-            CallerEvent::Repeat(route_name) => self.repeat_call(&route_name),
+            CallerEvent::RetryRefused(route_name) => self.send_retry(&route_name),
         }
     }
 
--- a/testing/fleet/src/sim/event/environment.rs
+++ b/testing/fleet/src/sim/event/environment.rs
@@ -52,7 +52,7 @@
 pub(in crate::sim) enum OperatorEvent {
     /// An operator's wait for a reply times out.
     ClientTimedOut(OperationTicket),
-    /// An operator sends a command again.
+    /// An operator sends the command with this number again.
     Resend(u64),
     /// An operator reads the configuration.
     Read,
@@ -82,10 +82,10 @@
 pub(in crate::sim) enum CallerEvent {
     /// A caller sends a request.
     Call,
-    /// A caller sends a request again with the same idempotency key.
+    /// A caller sends a request again with the same idempotency key, to the route with this name.
     DuplicateCall(IdempotencyKey, &'static str),
-    /// A caller repeats a refused request.
-    Repeat(String),
+    /// A caller sends a refused request to this route again, with a new idempotency key.
+    RetryRefused(String),
 }
 
 impl CallerEvent {
@@ -94,7 +94,7 @@
         match self {
             Self::Call => 39,
             Self::DuplicateCall(..) => 40,
-            Self::Repeat(..) => 41,
+            Self::RetryRefused(..) => 41,
         }
     }
 }
--- a/testing/fleet/src/sim/event/nodes.rs
+++ b/testing/fleet/src/sim/event/nodes.rs
@@ -115,10 +115,10 @@
     /// A request's wait for the leader's reply to an acquire times out.
     AcquireTimedOut(Node, u64, u64),
     /// A forwarded request, or a notice about one, arrives from another daemon.
-    Hop(Node, u64, ReplyTarget, DaemonMessage),
+    PeerMessage(Node, u64, ReplyTarget, DaemonMessage),
     /// The result of a forwarded request is known: the request's number, the result, and the hint about the regional
     /// key in tenths of a second.
-    Forwarded(Node, u64, u64, ForwardResult, u8),
+    ForwardEnded(Node, u64, u64, ForwardResult, u8),
     /// A lease holder passes a message for the leader to its daemon.
     FromHolder(Node, u64, FunctionKey, FencingToken, HolderMessage),
     /// The process of a daemon that was stopped gracefully exits.
@@ -135,10 +135,10 @@
         match self {
             Self::Lookup(node, incarnation, ..)
             | Self::AcquireTimedOut(node, incarnation, _)
-            | Self::Hop(node, incarnation, ..)
+            | Self::PeerMessage(node, incarnation, ..)
             | Self::FromHolder(node, incarnation, ..)
             | Self::ProcessExited(node, incarnation)
-            | Self::Forwarded(node, incarnation, ..) => (*node, Some(*incarnation)),
+            | Self::ForwardEnded(node, incarnation, ..) => (*node, Some(*incarnation)),
             Self::ReplicaReplied(exchange, _) => exchange.requester.target(),
             Self::HeartbeatDatagram(node, _) | Self::ReplicaRequested(node, ..) => (*node, None),
         }
@@ -150,8 +150,8 @@
             Self::HeartbeatDatagram(..) => 12,
             Self::Lookup(..) => 13,
             Self::AcquireTimedOut(..) => 14,
-            Self::Hop(..) => 15,
-            Self::Forwarded(..) => 16,
+            Self::PeerMessage(..) => 15,
+            Self::ForwardEnded(..) => 16,
             Self::FromHolder(..) => 17,
             Self::ProcessExited(..) => 18,
             Self::ReplicaRequested(..) => 30,
--- a/testing/fleet/src/sim/plan.rs
+++ b/testing/fleet/src/sim/plan.rs
@@ -110,12 +110,12 @@
 pub struct SimResult {
     /// The violations that were found.
     pub violations: Vec<SafetyViolation>,
-    /// The number of requests and changes by outcome.
+    /// How often each labelled event happened: requests and changes by outcome, faults by kind, and others.
     pub counts: BTreeMap<String, u64>,
     /// How often each check was performed.
     pub checked: BTreeMap<&'static str, u64>,
-    /// The share of requests that were answered, from 12 s after all faults were undone.
-    pub share_after: f64,
+    /// The share of answered requests among those made from 12 s after all faults were undone.
+    pub settled_answer_share: f64,
     /// The time from when all faults were undone until at least half of the calls were answered again.
     pub recovered_after: Duration,
     /// The number of counted steps of the control plane.
@@ -144,7 +144,7 @@
             out,
             "{} violations; {:.0}% answered after all faults were undone, recovered in {} ms; {}; checks: {}",
             self.violations.len(),
-            self.share_after * 100.0,
+            self.settled_answer_share * 100.0,
             self.recovered_after.as_millis(),
             counts.join(", "),
             checked.join(", ")
--- a/testing/fleet/src/sim/recovery.rs
+++ b/testing/fleet/src/sim/recovery.rs
@@ -1,5 +1,4 @@
-//! The time from the loss of a controller to the next acknowledged order and the next renewed
-//! session leases.
+//! The time from the loss of a controller to the next acknowledged order and the next renewed session leases.
 
 use super::plan::SimPlan;
 use super::script::{Action, Loss, Target};
@@ -24,14 +23,14 @@
     }
 
     /// Records that an order was acknowledged.
-    pub(crate) fn acknowledged(&mut self, now: MonotonicTime) {
+    pub(crate) fn record_acknowledgement(&mut self, now: MonotonicTime) {
         if let Some(started_at) = self.started_at {
             self.acknowledged_after.get_or_insert(now.since(started_at));
         }
     }
 
     /// Records that a daemon's session lease was renewed.
-    pub(crate) fn renewed(&mut self, now: MonotonicTime, daemon: usize) {
+    pub(crate) fn record_renewal(&mut self, now: MonotonicTime, daemon: usize) {
         if let Some(started_at) = self.started_at {
             self.renewed_after
                 .entry(daemon)
@@ -40,7 +39,7 @@
     }
 
     /// Returns the recovery times, if an order was acknowledged and the session leases of all daemons were renewed.
-    pub(crate) fn measured(&self, daemons: usize) -> Option<RecoveryTimes> {
+    pub(crate) fn recovery_times(&self, daemons: usize) -> Option<RecoveryTimes> {
         let first_lease = self.renewed_after.values().min().copied()?;
         let last_lease = self.renewed_after.values().max().copied()?;
         let are_all_renewed = self.renewed_after.len() == daemons;
@@ -121,11 +120,15 @@
 const EARLIEST_LOSS_AT: Duration = Duration::from_secs(5);
 const MEASUREMENT_DURATION: Duration = Duration::from_secs(10);
 const ORDER_INTERVAL: Duration = Duration::from_millis(40);
+/// A prime, so that the losses of successive seeds are spread over [`LOSS_JITTER_MS`].
+const LOSS_JITTER_FACTOR: u64 = 7919;
+/// The range of times after [`EARLIEST_LOSS_AT`] at which the loss happens.
+const LOSS_JITTER_MS: u64 = 1000;
 
 impl SingleLoss {
     /// Returns the plan of a run with this seed: the loss, and orders in quick succession after it.
     pub fn plan(&self, seed: u64, controllers: usize, voters: usize) -> SimPlan {
-        let jitter = Duration::from_millis(seed.wrapping_mul(7919) % 1000);
+        let jitter = Duration::from_millis(seed.wrapping_mul(LOSS_JITTER_FACTOR) % LOSS_JITTER_MS);
         let loss_at = EARLIEST_LOSS_AT + jitter;
         let mut script = vec![
             (loss_at, Action::Lose(self.target, self.loss)),
--- a/testing/fleet/src/sim/reply_checks.rs
+++ b/testing/fleet/src/sim/reply_checks.rs
@@ -114,8 +114,8 @@
             } => {
                 self.reply_checks
                     .acknowledge(self.queue.now(), change, *version, expectation);
-                self.recovery.acknowledged(self.queue.now());
-                self.note_acknowledgement();
+                self.recovery.record_acknowledgement(self.queue.now());
+                self.schedule_requested_power_losses();
             }
             OperationReply::Stale {
                 change, version, ..
