--- a/testing/fleet/src/judge/checks/service.rs
+++ b/testing/fleet/src/judge/checks/service.rs
@@ -6,10 +6,11 @@
     SERVICE_NOT_RECOVERED, SLACK, UNANSWERED_AT_STOP,
 };
 use crate::judge::{Call, Check, Evidence, JournalEntry};
+use common::frames::RequestFailureReason;
 use common::http::CallError;
 use common::identity::FencingToken;
 use serde_json::json;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::ops::Bound;
 
 /// Checks that a request in flight at a graceful stop keeps its answer: at the ingress of the stopping daemon it gets a
@@ -193,22 +194,80 @@
 
 /// The time from the undoing of a fault until service is measured, in seconds.
 const RECOVERY_TIME_SECONDS: u64 = 12;
+/// The same time in nanoseconds.
+const RECOVERY_TIME: u64 = RECOVERY_TIME_SECONDS * SECOND;
 /// The number of seconds that are measured then.
 const MEASURED_SECONDS: u64 = 5;
 /// Seconds with fewer calls are ignored.
 const MIN_CALLS: usize = 20;
+/// The duration of a daemon's session lease, in nanoseconds.
+const SESSION_LEASE: u64 = 2 * SECOND;
+
+/// Returns the longest recorded timeout of the calls of each function, in nanoseconds.
+fn longest_timeouts(calls: &[Call]) -> HashMap<&str, u64> {
+    let mut longest_timeouts = HashMap::new();
+    for call in calls {
+        let Some(timeout) = call.timeout else {
+            continue;
+        };
+        let longest = longest_timeouts
+            .entry(call.function.as_str())
+            .or_insert(timeout);
+        *longest = timeout.max(*longest);
+    }
+    longest_timeouts
+}
+
+/// Whether the call was rejected because a new lease holder without the earlier ledger does not yet admit requests that
+/// must run at most once.
+fn is_rejected_for_once_wait(call: &Call) -> bool {
+    call.is_refused()
+        && call.at_most_once
+        && call.reason == RequestFailureReason::OnceNotYetAdmitted.as_str()
+}
+
+/// Whether the call was rejected by a new lease holder that has to wait for longer than the recovery time. Without the
+/// earlier ledger, it must reject requests that must run at most once while requests of the earlier holder may be in
+/// flight: for the longest timeout and one session lease. Of the timeouts, only those recorded for the call's function
+/// count. The lease must be granted within the recovery time, so a wait that ends later than that explains is not
+/// required.
+fn is_rejection_required(
+    call: &Call,
+    longest_timeouts: &HashMap<&str, u64>,
+    fault_end: u64,
+) -> bool {
+    let (Some(_), Some(retry_after), Some(longest_timeout)) = (
+        call.timeout,
+        call.retry_after,
+        longest_timeouts.get(call.function.as_str()),
+    ) else {
+        return false;
+    };
+    let once_wait = longest_timeout.saturating_add(SESSION_LEASE);
+    let latest_wait_end = (fault_end + RECOVERY_TIME).saturating_add(once_wait);
+    let announced_wait_end = call.at.saturating_add(retry_after);
+    is_rejected_for_once_wait(call)
+        && once_wait > RECOVERY_TIME
+        && announced_wait_end <= latest_wait_end
+}
 
 /// Checks that at least half of the calls are answered in each measured second after a heavy fault was undone and
-/// before the next fault.
+/// before the next fault. Calls whose rejection is [required](is_rejection_required) are not counted.
 pub(super) fn service_not_recovered(evidence: &Evidence) -> Check {
     let mut check = Check::new(SERVICE_NOT_RECOVERED);
     let faults: Vec<u64> = evidence.entries_of("fault").map(|entry| entry.at).collect();
     let heavy_fault_ends = evidence
         .entries_of("returned")
         .filter(|entry| entry.detail["heavy"] == json!(true));
+    let longest_timeouts = longest_timeouts(&evidence.calls);
     for returned in heavy_fault_ends {
         let next_fault = faults.iter().find(|at| **at > returned.at).copied();
-        let found = service_after(evidence, returned, next_fault.unwrap_or(u64::MAX));
+        let found = service_after(
+            evidence,
+            &longest_timeouts,
+            returned,
+            next_fault.unwrap_or(u64::MAX),
+        );
         check.merge(found);
     }
     check
@@ -216,9 +275,14 @@
 
 /// Measures service after one fault: one case if any second could be measured, and a violation for each second in which
 /// most calls were not answered.
-fn service_after(evidence: &Evidence, returned: &JournalEntry, next_fault: u64) -> Check {
+fn service_after(
+    evidence: &Evidence,
+    longest_timeouts: &HashMap<&str, u64>,
+    returned: &JournalEntry,
+    next_fault: u64,
+) -> Check {
     let mut check = Check::new(SERVICE_NOT_RECOVERED);
-    let from = returned.at + RECOVERY_TIME_SECONDS * SECOND;
+    let from = returned.at + RECOVERY_TIME;
     let until = (from + MEASURED_SECONDS * SECOND).min(next_fault);
     for second in 0..MEASURED_SECONDS {
         let span = from + second * SECOND..(from + (second + 1) * SECOND).min(until);
@@ -226,6 +290,7 @@
             .calls
             .iter()
             .filter(|call| span.contains(&call.at))
+            .filter(|call| !is_rejection_required(call, longest_timeouts, returned.at))
             .collect();
         if calls.len() < MIN_CALLS {
             continue;
--- a/testing/fleet/src/judge/evidence.rs
+++ b/testing/fleet/src/judge/evidence.rs
@@ -7,6 +7,8 @@
 
 /// The end time of a run or a runner without a recorded end.
 const NO_END: u64 = u64::MAX;
+/// Nanoseconds in a millisecond. Durations are recorded in milliseconds.
+const MILLISECOND: u64 = 1_000_000;
 
 /// A request as its caller recorded it.
 #[derive(Clone, Debug, Default)]
@@ -23,12 +25,16 @@
     pub function: String,
     /// Whether the request must run at most once.
     pub at_most_once: bool,
+    /// The timeout that the caller set, in nanoseconds; `None` if the record lacks it.
+    pub timeout: Option<u64>,
     /// Whether it is a caller's retry of an earlier request.
     pub is_retry: bool,
     /// The outcome: `answer`, `not_run`, `unknown`, `lost`, `left` or `no_door`.
     pub outcome: String,
     /// The reason given with the outcome; empty if there was none.
     pub reason: String,
+    /// The delay until a retry that the response suggests, in nanoseconds; `None` if the record lacks it.
+    pub retry_after: Option<u64>,
     /// Whether the answer's seal is valid for this request.
     pub sealed: bool,
     /// The runner that sent the answer.
@@ -137,6 +143,12 @@
     record[name].as_u64().unwrap_or(0)
 }
 
+/// Returns a duration in nanoseconds that is recorded in milliseconds, or `None` if the record lacks it.
+fn duration(record: &Value, name: &str) -> Option<u64> {
+    let milliseconds = record[name].as_u64()?;
+    Some(milliseconds.saturating_mul(MILLISECOND))
+}
+
 /// Why the records in a day's folder cannot be judged. The message of [`EvidenceError::Io`] includes its cause.
 #[derive(Debug, thiserror::Error)]
 pub enum EvidenceError {
@@ -333,9 +345,11 @@
         path: text(record, "path"),
         function: text(record, "function"),
         at_most_once: record["once"].as_bool().unwrap_or(false),
+        timeout: duration(record, "budget_ms"),
         is_retry: record["repeat_of"].is_string(),
         outcome: text(record, "outcome"),
         reason: text(record, "reason"),
+        retry_after: duration(record, "retry_after_ms"),
         sealed: record["sealed"].as_bool().unwrap_or(false),
         runner: text(record, "runner"),
         ingress: text(record, "door"),
@@ -376,7 +390,7 @@
         worker: text(record, "worker"),
         zone: text(record, "locality"),
         slots: number(record, "slots"),
-        startup: number(record, "boot_ms") * 1_000_000,
+        startup: number(record, "boot_ms") * MILLISECOND,
         start: number(record, "at"),
         stop: NO_END,
     }
--- a/testing/fleet/tests/judge.rs
+++ b/testing/fleet/tests/judge.rs
@@ -5,6 +5,7 @@
 use serde_json::{Value, json};
 
 const SECOND: u64 = 1_000_000_000;
+const MILLISECOND: u64 = SECOND / 1000;
 
 /// The records of a made-up day.
 struct Day {
@@ -327,6 +328,150 @@
     )
 }
 
+/// A function's longest timeout for which a new lease holder has to wait longer than the 12 s for recovery.
+const LONG_TIMEOUT: u64 = 11 * SECOND;
+/// When the fault of [`day_with_once_wait`] ends.
+const FAULT_END: u64 = 3 * SECOND;
+
+/// Returns the latest end of the wait for requests that may run only once, if a lease is granted 12 s after the fault:
+/// the function's longest timeout and the session lease of 2 s later.
+fn latest_wait_end(longest_timeout: u64) -> u64 {
+    FAULT_END + 12 * SECOND + longest_timeout + 2 * SECOND
+}
+
+/// Returns a call that a lease holder rejects because its wait for requests that may run only once ends later.
+fn once_wait_record(id: &str, at: u64, timeout: u64, wait_end: u64) -> Value {
+    let mut rejected = call_record(id, at, "not_run");
+    rejected["path"] = json!("/patient");
+    rejected["function"] = json!("patient");
+    rejected["budget_ms"] = json!(timeout / MILLISECOND);
+    rejected["reason"] = json!("once_wait");
+    rejected["retry_after_ms"] = json!((wait_end - at) / MILLISECOND);
+    rejected
+}
+
+/// Returns a day with a heavy fault and, in a second that is measured after it, 30 answered calls and 50 calls of
+/// another function that are rejected until the given end of the wait. These have shorter timeouts than the longest,
+/// which a single earlier call has.
+fn day_with_once_wait(longest_timeout: u64, wait_end: u64) -> Day {
+    let mut day = clean_day();
+    for kind in ["fault", "returned"] {
+        day.journal
+            .push(json!({"kind": kind, "at": FAULT_END, "fault": "kill-herd", "heavy": true}));
+    }
+    day.callers[0]["function"] = json!("patient");
+    day.callers[0]["budget_ms"] = json!(longest_timeout / MILLISECOND);
+    for number in 0..30 {
+        let id = format!("answered{number}");
+        let at = 16 * SECOND + number * SECOND / 30;
+        day.callers.push(call_record(&id, at, "answer"));
+        day.platform_stub
+            .extend(run_records(&id, at + 1000, "r-1-1", 200 + number));
+    }
+    for number in 0..50 {
+        day.callers.push(once_wait_record(
+            &format!("rejected{number}"),
+            16 * SECOND + number * SECOND / 50,
+            longest_timeout - SECOND,
+            wait_end,
+        ));
+    }
+    day
+}
+
+/// Returns the violations of the check for recovery. No other check may have any.
+fn recovery_violations(day: &Day) -> Vec<String> {
+    let evidence = Evidence::from_records(&day.callers, &day.platform_stub, &day.journal);
+    let violated = judge(&evidence)
+        .checks
+        .into_iter()
+        .filter(|check| !check.violations.is_empty());
+    violated
+        .flat_map(|check| {
+            assert_eq!(check.name, "mostly down 12 s after machines return");
+            check.violations
+        })
+        .collect()
+}
+
+/// What is found if the calls that [`day_with_once_wait`] rejects count.
+const REJECTIONS_COUNTED: &str = "13 s after \"kill-herd\": 30 of 80 answered";
+
+/// Guards against a verdict that depends on how often callers retry while a new lease holder must reject requests that
+/// may run only once for longer than the 12 s for recovery.
+#[gtest]
+fn required_once_wait_rejections_do_not_count_against_recovery() -> Result<()> {
+    let day = day_with_once_wait(LONG_TIMEOUT, latest_wait_end(LONG_TIMEOUT));
+    verify_that!(recovery_violations(&day), is_empty())
+}
+
+#[gtest]
+fn once_wait_that_ends_too_late_is_found() -> Result<()> {
+    let too_late = latest_wait_end(LONG_TIMEOUT) + MILLISECOND;
+    let day = day_with_once_wait(LONG_TIMEOUT, too_late);
+    verify_that!(
+        recovery_violations(&day),
+        elements_are![eq(REJECTIONS_COUNTED)]
+    )
+}
+
+/// A wait of at most 12 s can be over when recovery is measured: that of a timeout of 10 s is just as long.
+#[gtest]
+fn once_wait_rejections_of_functions_with_shorter_timeouts_are_found() -> Result<()> {
+    for longest_timeout in [5 * SECOND, 10 * SECOND] {
+        let day = day_with_once_wait(longest_timeout, latest_wait_end(longest_timeout));
+        verify_that!(
+            recovery_violations(&day),
+            elements_are![eq(REJECTIONS_COUNTED)]
+        )?;
+    }
+    Ok(())
+}
+
+/// Calls that differ from required rejections in one field count, and so do those of older records without a timeout
+/// or a suggested delay.
+#[gtest]
+fn other_failed_calls_count_against_recovery() -> Result<()> {
+    for (field, value) in [
+        ("reason", json!("not_serving")),
+        ("outcome", json!("unknown")),
+        ("once", json!(false)),
+        ("budget_ms", Value::Null),
+        ("retry_after_ms", Value::Null),
+    ] {
+        let mut day = day_with_once_wait(LONG_TIMEOUT, latest_wait_end(LONG_TIMEOUT));
+        for call in &mut day.callers {
+            if call["reason"] == json!("once_wait") {
+                call[field] = value.clone();
+            }
+        }
+        verify_that!(
+            recovery_violations(&day),
+            elements_are![eq(REJECTIONS_COUNTED)]
+        )?;
+    }
+    Ok(())
+}
+
+#[gtest]
+fn failed_calls_beside_required_once_wait_rejections_are_found() -> Result<()> {
+    let mut day = day_with_once_wait(LONG_TIMEOUT, latest_wait_end(LONG_TIMEOUT));
+    for number in 0..40 {
+        let mut failed = call_record(
+            &format!("failed{number}"),
+            16 * SECOND + number * SECOND / 40,
+            "unknown",
+        );
+        failed["path"] = json!("/other");
+        failed["function"] = json!("g");
+        day.callers.push(failed);
+    }
+    verify_that!(
+        recovery_violations(&day),
+        elements_are![eq("13 s after \"kill-herd\": 30 of 70 answered")]
+    )
+}
+
 fn change_with_paths(at: u64, base: u64, paths: Value) -> Value {
     json!({
         "kind": "change", "at": at, "sent_at": at - SECOND / 10, "base": base, "change_id": format!("c{base}"),
