--- a/crates/dataplane/src/agent/in_flight.rs
+++ b/crates/dataplane/src/agent/in_flight.rs
@@ -20,7 +20,7 @@
     }
 
     /// Returns a ticket that is unique in this process.
-    pub(crate) fn ticket(&self) -> Ticket {
+    pub(crate) fn next_ticket(&self) -> Ticket {
         Ticket(self.next_ticket.fetch_add(1, Ordering::Relaxed))
     }
 
--- a/crates/dataplane/src/agent/mod.rs
+++ b/crates/dataplane/src/agent/mod.rs
@@ -123,8 +123,8 @@
     }
 
     /// Returns a ticket for a request, unique in this process.
-    pub fn ticket(&self) -> Ticket {
-        self.in_flight.ticket()
+    pub fn next_ticket(&self) -> Ticket {
+        self.in_flight.next_ticket()
     }
 
     /// Whether the session lease is valid, so that requests may be served.
--- a/crates/dataplane/src/drivers/holder_driver.rs
+++ b/crates/dataplane/src/drivers/holder_driver.rs
@@ -39,7 +39,7 @@
         held: &'a LocalHeldFunction,
         holder_request: HolderRequest,
     ) -> Self {
-        let ticket = state.agent.ticket();
+        let ticket = state.agent.next_ticket();
         let (waiter, awaited_outcome) = outcome_channel();
         let (immediate_end, outputs) =
             held.admit(MonotonicTime::now(), ticket, holder_request, waiter);
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -284,7 +284,7 @@
         let Some(agent) = self.nodes.agent(index) else {
             return;
         };
-        let ticket = agent.ticket();
+        let ticket = agent.next_ticket();
         let process = self.nodes.daemon_mut(index).process.as_mut();
         if let Some(pending) = process.and_then(|process| process.pending_requests.get_mut(&number))
         {
--- a/testing/fleet/src/synthetic/daemons/forwarding.rs
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -167,7 +167,7 @@
         };
         let ((immediate_outcome, outputs), _) =
             self.meter.measure_step(Role::Holder, Work::Runs, || {
-                held.admit(now, agent.ticket(), holder_request, number)
+                held.admit(now, agent.next_ticket(), holder_request, number)
             });
         self.execute_outputs(daemon, held, outputs);
         self.tick_for_holder(daemon, held);
