--- a/crates/dataplane/src/drivers/runner_connections.rs
+++ b/crates/dataplane/src/drivers/runner_connections.rs
@@ -81,7 +81,7 @@
     }
 
     /// Waits until the connection can accept a request. Returns false if it has ended or does not become ready in time.
-    pub async fn is_usable(&mut self, timeout: Duration) -> bool {
+    pub async fn wait_until_ready(&mut self, timeout: Duration) -> bool {
         let waiting = tokio::time::timeout(timeout, self.sender.ready());
         matches!(waiting.await, Ok(Ok(())))
     }
--- a/crates/dataplane/src/drivers/runners.rs
+++ b/crates/dataplane/src/drivers/runners.rs
@@ -89,7 +89,7 @@
             // has then.
             Err(CheckoutError::Full) => return ControlFlow::Break(SendResult::RejectedByRunner),
         };
-        if !connection.is_usable(READY_TIMEOUT).await {
+        if !connection.wait_until_ready(READY_TIMEOUT).await {
             return retry_if_reused(&connection);
         }
         let runner_attempt = match self.checked_attempt() {
