--- a/crates/common/src/rules.rs
+++ b/crates/common/src/rules.rs
@@ -112,7 +112,7 @@
     /// proofs`.
     ReadConfirmedByMajority = "reading-proven",
     /// A controller names only a leader from which it received something within the election timeout. Found by `fleet
-    /// proofs` and `crates/controlplane/tests/quorum_proofs.rs`.
+    /// proofs` and `crates/controlplane/tests/consensus_node_safety.rs`.
     LeaderHintIsRecent = "leader-heard",
     /// A change based on another version than the newest is rejected. Found by `fleet proofs`.
     StaleBaseRejected = "stale-base-refused",
@@ -132,7 +132,7 @@
     AcknowledgedByMajority = "acknowledged-by-majority",
     /// A change whose caller disconnected before it was proposed is dropped. Found by `fleet proofs`.
     AbandonedChangeDropped = "hung-up-dropped",
-    /// A vote is on disk before it is granted. Found by `crates/controlplane/tests/quorum_proofs.rs`.
+    /// A vote is on disk before it is granted. Found by `crates/controlplane/tests/consensus_node_safety.rs`.
     VotePersistedFirst = "vote-on-disk",
     /// A version is on disk before it is acknowledged. Found by `crates/controlplane/tests/quorum_model`.
     AcceptPersistedFirst = "accept-on-disk",
@@ -140,7 +140,7 @@
     /// `crates/controlplane/tests/quorum_model`.
     CandidateIsUpToDate = "newest-elected",
     /// A heartbeat response counts only in the term of its round. Found by
-    /// `crates/controlplane/tests/quorum_proofs.rs`.
+    /// `crates/controlplane/tests/consensus_node_safety.rs`.
     HeartbeatResponseInItsTerm = "round-of-its-term",
     /// A delta of the document is applied to its base version only. Found by
     /// `crates/controlplane/tests/replication.rs`.
--- a/testing/fleet/tests/invariants.rs
+++ b/testing/fleet/tests/invariants.rs
@@ -27,7 +27,7 @@
 
 /// The invariants whose violation random faults detect. `spec-never-older` has its own test in
 /// `crates/dataplane/tests/agent/spec_versions.rs`, `commit-never-lost` in
-/// `crates/controlplane/tests/quorum_proofs.rs`, and `sent-under-lease` another one in
+/// `crates/controlplane/tests/consensus_node_safety.rs`, and `sent-under-lease` another one in
 /// `platform/tests/connections/pre_send_check.rs`.
 const CASES: &[Case] = &[
     case(
