--- a/testing/fleet/tests/support/clean_runs.rs
+++ b/testing/fleet/tests/support/clean_runs.rs
@@ -1,9 +1,9 @@
-//! Simulated days that must not have violations.
+//! Simulated runs that must not have violations.
 
 use fleet::sim::{SimPlan, SimResult, Simulation};
 use googletest::prelude::*;
 
-/// Runs a simulated day and verifies that it violated no safety check. Returns its result.
+/// Performs a simulated run and verifies that it violated no safety check. Returns its result.
 pub(crate) fn verify_clean(plan: SimPlan) -> Result<SimResult> {
     let seed = plan.seed;
     let sim_result = Simulation::new(plan, false).run();
