--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -31,7 +31,7 @@
         idempotency_key: IdempotencyKey,
         route_name: &str,
         timeout: Duration,
-        repeat: bool,
+        is_caller_retry: bool,
     ) {
         let local_now = self.daemon_now(index);
         let Some(agent) = self.nodes.agent(index) else {
@@ -54,7 +54,7 @@
             &idempotency_key,
             route_name,
             route.spec.once,
-            repeat,
+            is_caller_retry,
         );
         let request = FunctionRequest {
             idempotency_key,
@@ -63,7 +63,7 @@
             version: table.version(),
             deadline: local_now + timeout.min(route.spec.timeout),
             hops: 0,
-            is_retry: repeat,
+            is_retry: is_caller_retry,
             wants_referral: true,
             region: agent
                 .own_region()
