--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -75,7 +75,7 @@
     }
 
     /// Handles a frame from another daemon.
-    pub(in crate::sim) fn handle_hop(
+    pub(in crate::sim) fn handle_peer_message(
         &mut self,
         index: usize,
         reply_target: ReplyTarget,
--- a/testing/fleet/src/sim/dispatch.rs
+++ b/testing/fleet/src/sim/dispatch.rs
@@ -98,7 +98,7 @@
                 self.handle_acquire_timeout(node.daemon_index(), number)
             }
             DaemonEvent::PeerMessage(node, _, reply_target, body) => {
-                self.handle_hop(node.daemon_index(), reply_target, body)
+                self.handle_peer_message(node.daemon_index(), reply_target, body)
             }
             DaemonEvent::ForwardEnded(node, _, number, result, regional_delay_deciseconds) => {
                 self.finish_forward(
