--- a/testing/fleet/src/sim/daemon/mod.rs
+++ b/testing/fleet/src/sim/daemon/mod.rs
@@ -31,7 +31,7 @@
 pub(in crate::sim) enum ReplyTarget {
     Caller,
     /// The daemon that forwarded the request, and the number that the request has there.
-    Hop {
+    Peer {
         node: Node,
         incarnation: u64,
         number: u64,
--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -377,7 +377,7 @@
             wait_span,
             DaemonEvent::ForwardEnded(node, incarnation, number, ForwardResult::Lost, 0),
         );
-        let reply_target = ReplyTarget::Hop {
+        let reply_target = ReplyTarget::Peer {
             node,
             incarnation,
             number,
@@ -446,7 +446,7 @@
                 );
                 self.deliver_outcome(pending.forwarding.request(), &outcome);
             }
-            ReplyTarget::Hop {
+            ReplyTarget::Peer {
                 node: reply_node,
                 incarnation,
                 number,
--- a/testing/fleet/src/sim/daemon/shutdown.rs
+++ b/testing/fleet/src/sim/daemon/shutdown.rs
@@ -132,7 +132,7 @@
         if !self.network.reaches(requester.node, to_node) {
             return;
         }
-        let reply_target = ReplyTarget::Hop {
+        let reply_target = ReplyTarget::Peer {
             node: requester.node,
             incarnation: requester.incarnation,
             number,
