--- a/testing/fleet/src/synthetic/daemons/forwarding.rs
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -203,7 +203,7 @@
         let lost = RequestEvent::Forwarded(ForwardResult::Lost);
         self.push(wait_span, Event::Request(request, lost));
         let hop = DaemonEvent::Hop {
-            reply_target: ReplyTarget::Hop(request),
+            reply_target: ReplyTarget::Peer(request),
             frame,
         };
         let delay = Self::message_delay(request.daemon, other);
@@ -264,7 +264,7 @@
                 RequestOutcome::NotRun { .. } => self.record.not_run += 1,
                 RequestOutcome::Unknown { .. } => self.record.unknown += 1,
             },
-            ReplyTarget::Hop(requester) => {
+            ReplyTarget::Peer(requester) => {
                 self.reply_to_hop(request.daemon, requester, outcome, holder);
             }
         }
--- a/testing/fleet/src/synthetic/events.rs
+++ b/testing/fleet/src/synthetic/events.rs
@@ -34,7 +34,7 @@
 pub(super) enum ReplyTarget {
     Caller,
     /// The request in the daemon that forwarded this one.
-    Hop(RequestKey),
+    Peer(RequestKey),
 }
 
 /// An event at a virtual time.
