--- a/testing/fleet/src/synthetic/daemons/control.rs
+++ b/testing/fleet/src/synthetic/daemons/control.rs
@@ -35,10 +35,10 @@
             DaemonEvent::Start => self.start_daemon(daemon),
             DaemonEvent::Tick => self.tick_daemon(daemon),
             DaemonEvent::Heartbeat(heartbeat) => self.handle_heartbeat(daemon, &heartbeat),
-            DaemonEvent::Hop {
+            DaemonEvent::PeerRequest {
                 reply_target,
                 frame,
-            } => self.handle_hop(daemon, reply_target, &frame),
+            } => self.handle_peer_request(daemon, reply_target, &frame),
         }
     }
 
--- a/testing/fleet/src/synthetic/daemons/forwarding.rs
+++ b/testing/fleet/src/synthetic/daemons/forwarding.rs
@@ -1,4 +1,4 @@
-//! The steps of requests in daemons, and the hops between daemons.
+//! The steps of requests in daemons, and the messages between daemons.
 
 use super::numbered_frame;
 use crate::synthetic::events::{DaemonEvent, Event, ReplyTarget, RequestEvent, RequestKey};
@@ -196,31 +196,36 @@
             return;
         };
         let frame = numbered_frame(request.number, body);
-        let Some(frame) = self.encode_hop(&frame) else {
+        let Some(frame) = self.encode_peer_frame(&frame) else {
             return;
         };
         let wait_span = wait_until.since(self.now);
         let lost = RequestEvent::Forwarded(ForwardResult::Lost);
         self.push(wait_span, Event::Request(request, lost));
-        let hop = DaemonEvent::Hop {
+        let peer_request = DaemonEvent::PeerRequest {
             reply_target: ReplyTarget::Peer(request),
             frame,
         };
         let delay = Self::message_delay(request.daemon, other);
-        self.push(delay, Event::Daemon(other, hop));
+        self.push(delay, Event::Daemon(other, peer_request));
     }
 
-    fn encode_hop(&mut self, frame: &DaemonFrame) -> Option<Bytes> {
+    fn encode_peer_frame(&mut self, frame: &DaemonFrame) -> Option<Bytes> {
         wire::encode_sent(&mut self.meter, Role::Ingress, Work::Calls, frame)
     }
 
-    fn decode_hop(&mut self, bytes: &Bytes) -> Option<DaemonFrame> {
+    fn decode_peer_frame(&mut self, bytes: &Bytes) -> Option<DaemonFrame> {
         wire::decode_received(&mut self.meter, Role::Ingress, Work::Calls, bytes)
     }
 
     /// Handles a request that another daemon forwarded.
-    pub(super) fn handle_hop(&mut self, daemon: usize, reply_target: ReplyTarget, bytes: &Bytes) {
-        let Some(frame) = self.decode_hop(bytes) else {
+    pub(super) fn handle_peer_request(
+        &mut self,
+        daemon: usize,
+        reply_target: ReplyTarget,
+        bytes: &Bytes,
+    ) {
+        let Some(frame) = self.decode_peer_frame(bytes) else {
             return;
         };
         if let Ok(function_request) = FunctionRequest::from_message(self.now, frame.body) {
@@ -230,7 +235,7 @@
 
     /// Handles the reply of the daemon to which a request was forwarded.
     fn handle_forward_reply(&mut self, request: RequestKey, bytes: &Bytes) {
-        let Some(frame) = self.decode_hop(bytes) else {
+        let Some(frame) = self.decode_peer_frame(bytes) else {
             return;
         };
         if let DaemonMessage::Completed {
@@ -265,12 +270,12 @@
                 RequestOutcome::Unknown { .. } => self.record.unknown += 1,
             },
             ReplyTarget::Peer(requester) => {
-                self.reply_to_hop(request.daemon, requester, outcome, holder);
+                self.reply_to_peer(request.daemon, requester, outcome, holder);
             }
         }
     }
 
-    fn reply_to_hop(
+    fn reply_to_peer(
         &mut self,
         daemon: usize,
         requester: RequestKey,
@@ -282,7 +287,7 @@
             holder: LengthPrefixed(holder.into_iter().collect()),
             regional_delay_deciseconds: 0,
         };
-        let Some(bytes) = self.encode_hop(&numbered_frame(requester.number, body)) else {
+        let Some(bytes) = self.encode_peer_frame(&numbered_frame(requester.number, body)) else {
             return;
         };
         let delay = Self::message_delay(daemon, requester.daemon);
--- a/testing/fleet/src/synthetic/events.rs
+++ b/testing/fleet/src/synthetic/events.rs
@@ -86,7 +86,7 @@
     Tick,
     Heartbeat(Rc<HeartbeatDatagram>),
     /// A request arrives from another daemon.
-    Hop {
+    PeerRequest {
         reply_target: ReplyTarget,
         frame: Bytes,
     },
