--- a/crates/dataplane/src/agent/daemon_control/mod.rs
+++ b/crates/dataplane/src/agent/daemon_control/mod.rs
@@ -1,4 +1,4 @@
-//! The control side of a daemon. It passes stream events, the holders' messages and timer ticks to the
+//! A daemon's client of the control plane. It passes stream events, the holders' messages and timer ticks to the
 //! [cluster view](crate::cluster_view), and applies that view's outputs to the [`Agent`]. It performs no I/O: the
 //! drivers carry out the [`DaemonControlOutput`]s.
 //!
@@ -41,7 +41,7 @@
 }
 
 impl<W> DaemonControl<W> {
-    /// Creates the control side of a daemon that has just started.
+    /// Creates the control plane client of a daemon that has just started.
     pub fn new(
         now: MonotonicTime,
         agent: &Agent<W>,
--- a/crates/dataplane/src/agent/daemon_control/outputs.rs
+++ b/crates/dataplane/src/agent/daemon_control/outputs.rs
@@ -1,4 +1,4 @@
-//! Outputs of a daemon's control side, to be carried out by its drivers.
+//! Outputs of a daemon's control plane client, to be carried out by its drivers.
 
 use super::HeldFunction;
 use crate::holder::HolderOutput;
--- a/crates/dataplane/src/agent/mod.rs
+++ b/crates/dataplane/src/agent/mod.rs
@@ -4,7 +4,8 @@
 //! [`Agent`] is shared by all tasks of a daemon. The data that every request reads is kept in snapshots that are
 //! replaced as a whole, so that reads take no lock; the methods in `snapshots` read and replace them.
 //!
-//! * `daemon_control`: the control side, which handles the leader's frames, the holders' messages and timers.
+//! * `daemon_control`: the client of the control plane, which handles the leader's frames, the holders' messages and
+//!   timers.
 //! * `forwarding`: how a request reaches the holder of its function.
 //! * `held`: a held function, and the requests waiting for their outcomes.
 //! * `in_flight`: the requests in flight through this daemon.
