--- a/testing/fleet/src/sim/daemon/requests.rs
+++ b/testing/fleet/src/sim/daemon/requests.rs
@@ -31,7 +31,7 @@
         idempotency_key: IdempotencyKey,
         route_name: &str,
         timeout: Duration,
-        repeat: bool,
+        is_caller_retry: bool,
     ) {
         let local_now = self.daemon_now(index);
         let Some(agent) = self.nodes.agent(index) else {
@@ -54,7 +54,7 @@
             &idempotency_key,
             route_name,
             route.spec.once,
-            repeat,
+            is_caller_retry,
         );
         let request = FunctionRequest {
             idempotency_key,
@@ -63,7 +63,7 @@
             version: table.version(),
             deadline: local_now + timeout.min(route.spec.timeout),
             hops: 0,
-            is_retry: repeat,
+            is_retry: is_caller_retry,
             wants_referral: true,
             region: agent
                 .own_region()
@@ -75,7 +75,7 @@
     }
 
     /// Handles a frame from another daemon.
-    pub(in crate::sim) fn handle_hop(
+    pub(in crate::sim) fn handle_peer_message(
         &mut self,
         index: usize,
         reply_target: ReplyTarget,
@@ -284,7 +284,7 @@
         let Some(agent) = self.nodes.agent(index) else {
             return;
         };
-        let ticket = agent.ticket();
+        let ticket = agent.next_ticket();
         let process = self.nodes.daemon_mut(index).process.as_mut();
         if let Some(pending) = process.and_then(|process| process.pending_requests.get_mut(&number))
         {
@@ -377,7 +377,7 @@
             wait_span,
             DaemonEvent::ForwardEnded(node, incarnation, number, ForwardResult::Lost, 0),
         );
-        let reply_target = ReplyTarget::Hop {
+        let reply_target = ReplyTarget::Peer {
             node,
             incarnation,
             number,
@@ -446,7 +446,7 @@
                 );
                 self.deliver_outcome(pending.forwarding.request(), &outcome);
             }
-            ReplyTarget::Hop {
+            ReplyTarget::Peer {
                 node: reply_node,
                 incarnation,
                 number,
--- a/testing/fleet/src/synthetic/events.rs
+++ b/testing/fleet/src/synthetic/events.rs
@@ -34,7 +34,7 @@
 pub(super) enum ReplyTarget {
     Caller,
     /// The request in the daemon that forwarded this one.
-    Hop(RequestKey),
+    Peer(RequestKey),
 }
 
 /// An event at a virtual time.
@@ -86,7 +86,7 @@
     Tick,
     Heartbeat(Rc<HeartbeatDatagram>),
     /// A request arrives from another daemon.
-    Hop {
+    PeerRequest {
         reply_target: ReplyTarget,
         frame: Bytes,
     },
